--- a/crates/nickellead_balance/src/unhurried.rs
+++ b/crates/nickellead_balance/src/baseline.rs
@@ -11,20 +11,20 @@
 /// an assumed time to start from would hide for dozens of answers how unlike targets are, and on a
 /// fleet of hundreds of VMs each of them sees a target only now and then.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UnhurriedTime {
+pub struct BaselineLatency {
     millis: f64,
     answers: u32,
     /// Part of the usual weights that an answer has.
     weight: f64,
 }
 
-impl Default for UnhurriedTime {
+impl Default for BaselineLatency {
     fn default() -> Self {
         Self::weighing(1.0)
     }
 }
 
-impl UnhurriedTime {
+impl BaselineLatency {
     /// A time that gives an answer this part of its usual weight: the answers that all VMs see are
     /// many, and each may be three times as fast or as slow as the mean.
     #[must_use]
--- a/crates/nickellead_balance/src/reach.rs
+++ b/crates/nickellead_balance/src/reachability.rs
@@ -35,9 +35,9 @@
 
 /// The zones of which targets were silent.
 #[derive(Default)]
-pub struct ZoneReach(RefCell<HashMap<String, ZoneSilence>>);
+pub struct ZoneReachability(RefCell<HashMap<String, ZoneSilence>>);
 
-impl ZoneReach {
+impl ZoneReachability {
     /// Notes that a connection to a target met silence.
     pub fn note_silent(&self, zone: &str, target: &str, now: Timestamp) {
         let mut zones = self.0.borrow_mut();
--- a/crates/nickellead_balance/src/score.rs
+++ b/crates/nickellead_balance/src/score.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::Timestamp;
 
-use crate::UnhurriedTime;
+use crate::BaselineLatency;
 
 /// How a try at a target ended, as far as balancing is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     latency_ms: f64,
     /// Answers that the latency was learned from.
     timed: u32,
-    unhurried: UnhurriedTime,
+    unhurried: BaselineLatency,
     trouble: f64,
     answers: u32,
     ejected_until: Timestamp,
@@ -65,7 +65,7 @@
             running: 0,
             latency_ms: usual.as_secs_f64() * 1_000.0,
             timed: 0,
-            unhurried: UnhurriedTime::default(),
+            unhurried: BaselineLatency::default(),
             trouble: 0.0,
             answers: 0,
             ejected_until: Timestamp::ZERO,
--- a/crates/nickellead_balance/src/choose.rs
+++ b/crates/nickellead_balance/src/selection.rs
@@ -29,13 +29,13 @@
 
 /// What a choice goes by beside the scores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ChoiceRules {
+pub struct SelectionRules {
     /// Members with many failures are left out.
     pub ejection: bool,
     /// Members of the own availability zone are preferred.
-    pub near_first: bool,
+    pub prefer_same_zone: bool,
     /// Members that have just started are avoided.
-    pub cold_last: bool,
+    pub avoid_cold: bool,
 }
 
 /// Chooses one of the candidates; `None` when there are none.
@@ -44,7 +44,7 @@
 /// half of all are left out: then the fault is probably elsewhere.
 pub fn choose(
     candidates: &[Candidate<'_>],
-    rules: ChoiceRules,
+    rules: SelectionRules,
     now: Timestamp,
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
@@ -57,12 +57,12 @@
     drawn.min_by(|a, b| cost(&candidates[*a], rules).total_cmp(&cost(&candidates[*b], rules)))
 }
 
-fn cost(candidate: &Candidate<'_>, rules: ChoiceRules) -> f64 {
+fn cost(candidate: &Candidate<'_>, rules: SelectionRules) -> f64 {
     let mut cost = candidate.score.cost(candidate.slots);
-    if rules.near_first && !candidate.near {
+    if rules.prefer_same_zone && !candidate.near {
         cost *= FAR_FACTOR;
     }
-    if rules.cold_last && candidate.cold {
+    if rules.avoid_cold && candidate.cold {
         cost *= COLD_FACTOR;
     }
     cost
--- a/crates/nickellead_balance/src/signs.rs
+++ b/crates/nickellead_balance/src/signals.rs
@@ -14,7 +14,7 @@
 
 /// What the mandate's holder tells of the limit of one life of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum ToldLimit {
+pub enum ReportedLimit {
     /// Nothing.
     #[default]
     Unknown,
@@ -26,7 +26,7 @@
 
 /// Signs of one life of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TargetSigns {
+pub struct TargetSignals {
     leaving_since: Option<Timestamp>,
     paused_until: Timestamp,
     limit: Option<NamedLimit>,
@@ -43,7 +43,7 @@
     heard: Timestamp,
 }
 
-impl TargetSigns {
+impl TargetSignals {
     /// Notes that the target said that it leaves; tells whether that is new.
     pub fn note_leaving(&mut self, now: Timestamp) -> bool {
         let new = self.leaving_since.is_none();
@@ -88,14 +88,14 @@
     /// The same, where the mandate's holder tells what other VMs heard. What this VM heard itself stands for as
     /// long as the holder may not have learned it; after that its word is the newer one.
     #[must_use]
-    pub fn limit_beside(&self, told: ToldLimit, now: Timestamp) -> Option<f64> {
+    pub fn limit_beside(&self, told: ReportedLimit, now: Timestamp) -> Option<f64> {
         let fresh = |heard: Timestamp| now.since(heard) < HEARD_FRESH;
         match (self.limit, told) {
             (Some(own), _) if fresh(own.heard) => Some(own.rate),
             (None, _) if fresh(self.unlimited) && self.unlimited > Timestamp::ZERO => None,
-            (own, ToldLimit::Unknown) => own.map(|own| own.rate),
-            (_, ToldLimit::Unlimited) => None,
-            (_, ToldLimit::Limited(rate)) => Some(rate),
+            (own, ReportedLimit::Unknown) => own.map(|own| own.rate),
+            (_, ReportedLimit::Unlimited) => None,
+            (_, ReportedLimit::Limited(rate)) => Some(rate),
         }
     }
 
--- a/crates/nickellead_balance/src/part.rs
+++ b/crates/nickellead_balance/src/subset.rs
@@ -14,7 +14,7 @@
 /// At least `least`, so that a lost one can be done without, and `most` at most: a VM that spread its
 /// requests over hundreds of targets would use no connection twice before its target closes it.
 #[must_use]
-pub fn part_size(slots: u32, vms: usize, targets: usize, least: usize, most: usize) -> usize {
+pub fn subset_size(slots: u32, vms: usize, targets: usize, least: usize, most: usize) -> usize {
     let size = (f64::from(slots) * REQUESTS_A_SLOT / vms.max(1) as f64).ceil();
     (size as usize).clamp(least, most).min(targets)
 }
@@ -23,7 +23,7 @@
 ///
 /// Each target has the same number of VMs, but for one; a VM or target that comes or goes moves the parts
 /// by one place at most for each.
-pub fn even_part(
+pub fn even_subset(
     vm: usize,
     vms: usize,
     targets: usize,
--- a/crates/nickellead_balance/tests/choice.rs
+++ b/crates/nickellead_balance/tests/choice.rs
@@ -3,11 +3,12 @@
 
 use std::time::Duration;
 
-use nickellead_balance::{Candidate, ChoiceRules, TargetOutcome, TargetScore, choose};
+use nickellead_balance::{Candidate, SelectionRules, TargetOutcome, TargetScore, choose};
 use nickellead_core::Timestamp;
 
 /// All that a choice may go by.
-const RULES: ChoiceRules = ChoiceRules { ejection: true, near_first: true, cold_last: true };
+const RULES: SelectionRules =
+    SelectionRules { ejection: true, prefer_same_zone: true, avoid_cold: true };
 
 const USUAL: Duration = Duration::from_millis(80);
 
--- a/crates/nickellead_balance/tests/parts.rs
+++ b/crates/nickellead_balance/tests/parts.rs
@@ -3,7 +3,7 @@
 //!
 //! The figures: 25 VMs of a zone before 11, 22 and 3 targets with three slots and twelve places.
 
-use nickellead_balance::{even_part, part_size};
+use nickellead_balance::{even_subset, subset_size};
 use quickcheck::quickcheck;
 
 const SLOTS: u32 = 3;
@@ -15,7 +15,7 @@
 fn users(vms: usize, targets: usize, size: usize) -> Vec<usize> {
     let mut users = vec![0; targets];
     for vm in 0..vms {
-        even_part(vm, vms, targets, size).for_each(|place| users[place] += 1);
+        even_subset(vm, vms, targets, size).for_each(|place| users[place] += 1);
     }
     users
 }
@@ -24,7 +24,7 @@
 fn one_request_of_each_vm_that_uses_a_target_is_less_than_it_holds() {
     for targets in [3, 11, 22] {
         let vms = 25;
-        let size = part_size(SLOTS * targets as u32, vms, targets, LEAST, MOST);
+        let size = subset_size(SLOTS * targets as u32, vms, targets, LEAST, MOST);
         let most = users(vms, targets, size).into_iter().max().unwrap_or_default();
         assert!(
             most <= SLOTS as usize + PLACES + 2,
@@ -38,9 +38,9 @@
 
 #[test]
 fn few_vms_use_as_many_targets_as_they_may() {
-    assert_eq!(part_size(4 * 20, 3, 20, LEAST, MOST), MOST);
-    assert_eq!(part_size(4 * 5, 3, 5, LEAST, MOST), 5);
-    assert_eq!(part_size(0, 0, 0, LEAST, MOST), 0);
+    assert_eq!(subset_size(4 * 20, 3, 20, LEAST, MOST), MOST);
+    assert_eq!(subset_size(4 * 5, 3, 5, LEAST, MOST), 5);
+    assert_eq!(subset_size(0, 0, 0, LEAST, MOST), 0);
 }
 
 quickcheck! {
@@ -56,7 +56,7 @@
 
     fn a_part_names_no_target_twice(vm: u8, vms: u8, targets: u8, size: u8) -> bool {
         let (vms, targets) = (usize::from(vms) + 1, usize::from(targets));
-        let part: Vec<usize> = even_part(usize::from(vm) % vms, vms, targets, usize::from(size)).collect();
+        let part: Vec<usize> = even_subset(usize::from(vm) % vms, vms, targets, usize::from(size)).collect();
         let mut sorted = part.clone();
         sorted.sort_unstable();
         sorted.dedup();
--- a/crates/nickellead_balance/tests/signs.rs
+++ b/crates/nickellead_balance/tests/signs.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use nickellead_balance::{TargetSigns, ToldLimit};
+use nickellead_balance::{ReportedLimit, TargetSignals};
 use nickellead_core::Timestamp;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
@@ -48,7 +48,7 @@
 
 quickcheck! {
     fn sends_are_as_all_words_of_this_life_allow(steps: Vec<(u8, SignStep)>) -> bool {
-        let (mut signs, mut said) = (TargetSigns::default(), SaidWords::default());
+        let (mut signs, mut said) = (TargetSignals::default(), SaidWords::default());
         let mut now = 1_000;
         steps.into_iter().all(|(pause, step)| {
             now += u64::from(pause) * 4;
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_shorter_pause_does_not_end_a_longer_one() {
-    let mut signs = TargetSigns::default();
+    let mut signs = TargetSignals::default();
     assert!(signs.note_pause(Duration::from_secs(3), Timestamp(0)));
     assert!(!signs.note_pause(Duration::from_millis(100), Timestamp(500)));
     assert!(!signs.may_send(STAY, Timestamp(2_999)));
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_second_word_of_leaving_puts_nothing_off() {
-    let mut signs = TargetSigns::default();
+    let mut signs = TargetSignals::default();
     assert!(signs.note_leaving(Timestamp(0)));
     assert!(!signs.note_leaving(Timestamp(900)));
     assert!(signs.may_send(STAY, Timestamp(999)));
@@ -118,7 +118,7 @@
         let begins = 1_000 + u64::from(begins % 2_000);
         let before = (before > 100).then_some(f64::from(before));
         let at = |made| if made >= begins { Some(5.0) } else { before };
-        let mut signs = TargetSigns::default();
+        let mut signs = TargetSignals::default();
         let mut heard = false;
         limit_answers(steps, at).into_iter().all(|answer| {
             signs.note_limit(answer.limit, Timestamp(answer.sent), Timestamp(answer.came));
@@ -132,7 +132,7 @@
     ) -> bool {
         let ends = 1_000 + u64::from(ends % 2_000);
         let at = |made| (made < ends).then_some(5.0);
-        let mut signs = TargetSigns::default();
+        let mut signs = TargetSignals::default();
         let answers = limit_answers(steps, at);
         let named = answers.iter().filter(|answer| answer.limit.is_some());
         let last = named.map(|answer| answer.came).max().unwrap_or_default();
@@ -147,7 +147,7 @@
 
 #[test]
 fn an_answer_that_was_under_way_when_the_limit_came_does_not_end_it() {
-    let mut signs = TargetSigns::default();
+    let mut signs = TargetSignals::default();
     assert!(signs.note_limit(Some(5.0), Timestamp(100), Timestamp(120)));
     assert!(!signs.note_limit(None, Timestamp(110), Timestamp(130)));
     assert!(!signs.note_limit(Some(9.0), Timestamp(120), Timestamp(140)));
@@ -159,14 +159,14 @@
 
 #[test]
 fn what_a_vm_heard_itself_goes_before_the_holders_word_until_the_holder_can_know_it() {
-    let mut signs = TargetSigns::default();
-    let told = ToldLimit::Limited(3.0);
+    let mut signs = TargetSignals::default();
+    let told = ReportedLimit::Limited(3.0);
     assert_eq!(signs.limit_beside(told, Timestamp(9_000)), Some(3.0));
     signs.note_limit(None, Timestamp(9_000), Timestamp(9_010));
     assert_eq!(signs.limit_beside(told, Timestamp(9_100)), None);
     assert_eq!(signs.limit_beside(told, Timestamp(20_000)), Some(3.0));
     signs.note_limit(Some(7.0), Timestamp(20_000), Timestamp(20_010));
-    assert_eq!(signs.limit_beside(ToldLimit::Unlimited, Timestamp(20_100)), Some(7.0));
-    assert_eq!(signs.limit_beside(ToldLimit::Unlimited, Timestamp(30_000)), None);
-    assert_eq!(signs.limit_beside(ToldLimit::Unknown, Timestamp(30_000)), Some(7.0));
+    assert_eq!(signs.limit_beside(ReportedLimit::Unlimited, Timestamp(20_100)), Some(7.0));
+    assert_eq!(signs.limit_beside(ReportedLimit::Unlimited, Timestamp(30_000)), None);
+    assert_eq!(signs.limit_beside(ReportedLimit::Unknown, Timestamp(30_000)), Some(7.0));
 }
--- a/crates/nickellead_core/src/error.rs
+++ b/crates/nickellead_core/src/error.rs
@@ -36,7 +36,7 @@
 
 /// One row of the table from kind to answer.
 #[derive(Clone, Copy, Debug)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// The kind this row answers for.
     pub kind: ErrorKind,
     /// Value of the `nickellead-error` header.
@@ -67,9 +67,9 @@
 
             /// The row of the table for this kind.
             #[must_use]
-            pub const fn answer(self) -> ErrorAnswer {
+            pub const fn answer(self) -> ErrorResponse {
                 match self {
-                    $(Self::$kind => ErrorAnswer {
+                    $(Self::$kind => ErrorResponse {
                         kind: self,
                         code: $code,
                         status: $status,
--- a/crates/nickellead_core/src/key.rs
+++ b/crates/nickellead_core/src/key.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Longest key that callers may name, in bytes.
-pub const KEY_LENGTH_MAX: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 
 /// How many shards a service has; never zero.
 pub type ShardCount = std::num::NonZeroU32;
--- a/crates/nickellead_core/src/lib.rs
+++ b/crates/nickellead_core/src/lib.rs
@@ -10,11 +10,11 @@
 mod rules;
 mod time;
 
-pub use error::{ErrorAnswer, ErrorKind, ErrorLevel, OutcomeClass};
+pub use error::{ErrorKind, ErrorLevel, ErrorResponse, OutcomeClass};
 pub use ident::{Name, NameError, ServiceKey, TargetKey, VmKey, ZoneKey};
-pub use key::{KEY_LENGTH_MAX, ShardCount, ShardIndex, shard_of};
+pub use key::{MAX_KEY_BYTES, ShardCount, ShardIndex, shard_of};
 pub use number::{Epoch, Incarnation, Nonce, Sequence, Term, Version};
-pub use rules::is_taken_out;
+pub use rules::is_rule_disabled;
 pub use time::{DriftBound, Timestamp};
 
 /// The types that nearly every module needs.
--- a/crates/nickellead_core/src/rules.rs
+++ b/crates/nickellead_core/src/rules.rs
@@ -11,7 +11,7 @@
 /// Whether the rule of this name is taken out in this run.
 #[cfg(feature = "mutations")]
 #[must_use]
-pub fn is_taken_out(name: &str) -> bool {
+pub fn is_rule_disabled(name: &str) -> bool {
     use std::sync::LazyLock;
     static TAKEN_OUT: LazyLock<String> =
         LazyLock::new(|| std::env::var("NICKELLEAD_MUTATION").unwrap_or_default());
@@ -21,7 +21,7 @@
 /// Whether the rule of this name is taken out in this run: never.
 #[cfg(not(feature = "mutations"))]
 #[must_use]
-pub const fn is_taken_out(_name: &str) -> bool {
+pub const fn is_rule_disabled(_name: &str) -> bool {
     false
 }
 
@@ -29,6 +29,6 @@
 #[macro_export]
 macro_rules! enforced {
     ($name:literal) => {
-        !$crate::is_taken_out($name)
+        !$crate::is_rule_disabled($name)
     };
 }
--- a/crates/nickellead_event/src/event.rs
+++ b/crates/nickellead_event/src/event.rs
@@ -5,7 +5,7 @@
 use log::Level;
 
 /// One answered request in this many is logged: enough to compare with, and cheap.
-pub const ANSWERED_SAMPLE: u64 = 64;
+pub const REQUEST_ANSWERED_SAMPLE_INTERVAL: u64 = 64;
 
 macro_rules! event_table {
     ($($kind:ident, $name:literal, $level:ident, [$($field:literal),*], $help:literal;)*) => {
--- a/crates/nickellead_event/src/lib.rs
+++ b/crates/nickellead_event/src/lib.rs
@@ -5,4 +5,4 @@
 
 mod event;
 
-pub use event::{ANSWERED_SAMPLE, EventName, event_line, events_page, log_event};
+pub use event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL, event_line, events_page, log_event};
--- a/crates/nickellead_gateway/src/admission.rs
+++ b/crates/nickellead_gateway/src/admission.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bincode::{Decode, Encode};
-use nickellead_balance::ToldLimit;
+use nickellead_balance::ReportedLimit;
 
 use crate::fleet::HolderStamp;
 
@@ -54,12 +54,12 @@
 impl AdmissionTable {
     /// What is told of the limit of a life of a target; the first table of a process, without a word of any
     /// holder, tells nothing.
-    pub(crate) fn limit(&self, target: &str, born: Option<u64>) -> ToldLimit {
+    pub(crate) fn limit(&self, target: &str, born: Option<u64>) -> ReportedLimit {
         if self.stamp == HolderStamp::default() {
-            return ToldLimit::Unknown;
+            return ReportedLimit::Unknown;
         }
         let limit = self.limits.get(target).filter(|limit| limit.born == born);
-        limit.map_or(ToldLimit::Unlimited, |limit| ToldLimit::Limited(limit.rate))
+        limit.map_or(ReportedLimit::Unlimited, |limit| ReportedLimit::Limited(limit.rate))
     }
 
     /// Part of the requests for a key that may be sent.
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use nickellead_balance::UnhurriedTime;
+use nickellead_balance::BaselineLatency;
 use nickellead_core::Timestamp;
 use nickellead_event::{EventName, log_event};
-use nickellead_limit::{AdmissionShares, OwnerAdmission, OwnerReport, share_out};
+use nickellead_limit::{AdmissionFractions, OwnerAdmission, OwnerReport, allocate_rate};
 use nickellead_range::{KeyLoad, RangeRecord};
 use nickellead_time::BootClock;
 
@@ -44,7 +44,7 @@
 pub(super) struct TargetFigures {
     /// Which life of the target they are of.
     born: Option<u64>,
-    pub(super) unhurried: UnhurriedTime,
+    pub(super) unhurried: BaselineLatency,
     /// Latency target of its requests, in milliseconds; 0 before the first answer.
     goal_ms: f64,
     /// What it did since the last look.
@@ -58,7 +58,7 @@
     fn default() -> Self {
         Self {
             born: None,
-            unhurried: UnhurriedTime::weighing(ANSWER_WEIGHT),
+            unhurried: BaselineLatency::weighing(ANSWER_WEIGHT),
             goal_ms: 0.0,
             counts: AnswerCounts::default(),
             admission: OwnerAdmission::default(),
@@ -215,12 +215,12 @@
             log_limit(owner, rate, demand, known);
         }
         let Some(rate) = rate else { return Vec::new() };
-        limited_ranges(ranges, &share_out(rate, &demands))
+        limited_ranges(ranges, &allocate_rate(rate, &demands))
     }
 }
 
 /// An owner's ranges with the shares of their keys; those that may be sent everything are left out.
-fn limited_ranges(ranges: &[&RangeRecord], shares: &AdmissionShares) -> Vec<AdmissionRange> {
+fn limited_ranges(ranges: &[&RangeRecord], shares: &AdmissionFractions) -> Vec<AdmissionRange> {
     let hot_of = |range: &RangeRecord| {
         let inside = shares.hot.iter().filter(|(key, _)| range.contains(*key));
         inside.map(|(key, share)| (*key, *share as f32)).collect()
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_limit::kept_rate;
+use nickellead_limit::sustainable_rate;
 use nickellead_range::HolderRecord;
 use nickellead_time::BootClock;
 
@@ -103,6 +103,6 @@
         let now = BootClock.now();
         let limits = self.limits.borrow();
         let limit = limits.get(owner).filter(|limit| limit.relieves(now));
-        limit.map(|limit| kept_rate(limit.rate, self.count_vms()) * LOAD_LENGTH)
+        limit.map(|limit| sustainable_rate(limit.rate, self.count_vms()) * LOAD_LENGTH)
     }
 }
--- a/crates/nickellead_gateway/src/roster.rs
+++ b/crates/nickellead_gateway/src/roster.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use nickellead_balance::{
-    TargetOutcome, TargetScore, TargetSigns, ToldLimit, even_part, part_size,
+    ReportedLimit, TargetOutcome, TargetScore, TargetSignals, even_subset, subset_size,
 };
 use nickellead_core::Timestamp;
-use nickellead_limit::{AdaptiveLimit, ColdBound, ColdGate, ColdShare, RateGate, TurnQueue};
+use nickellead_limit::{AdaptiveLimit, ColdBounds, ColdLimiter, ColdQuota, RateLimiter, WaitQueue};
 use nickellead_range::HolderRecord;
 use nickellead_time::BootClock;
 
@@ -55,7 +55,7 @@
 const FALLEN_MOST: usize = 3;
 
 /// Kept by all who ask one life of a target, and beyond the time that it is listed.
-pub(crate) type SharedSigns = Rc<Cell<TargetSigns>>;
+pub(crate) type SharedSigns = Rc<Cell<TargetSignals>>;
 
 /// One target with what this VM has learned of it.
 pub(crate) struct TargetMember {
@@ -69,7 +69,7 @@
     told_cold: Cell<Duration>,
     /// What its targets bear while they are cold.
     cold_rule: Cell<Option<ColdRule>>,
-    pub(crate) cold: ColdGate,
+    pub(crate) cold: ColdLimiter,
     /// Whether it owns keys.
     divided: Cell<bool>,
     /// Until when it is left out because it refused a connection.
@@ -77,15 +77,15 @@
     /// What it told this VM of itself.
     pub(crate) signs: SharedSigns,
     /// What the mandate's holder told of its limit.
-    told_limit: Cell<ToldLimit>,
+    told_limit: Cell<ReportedLimit>,
     /// This VM's part of its limit.
-    rate: RateGate,
+    rate: RateLimiter,
     /// VMs that share its limit, this one included; 0 while they are not known.
     sharers: Cell<usize>,
     pub(crate) score: RefCell<TargetScore>,
     pub(crate) limit: Cell<AdaptiveLimit>,
     /// Requests that wait for this very target.
-    pub(crate) turns: TurnQueue,
+    pub(crate) turns: WaitQueue,
     pub(crate) pool: SharedPool,
 }
 
@@ -103,7 +103,7 @@
 /// Requests under way at a member, counted also when their future is dropped.
 ///
 /// Its end wakes a request that waits for the target, and one that waits for any of the service.
-pub(crate) struct RunningGuard(Rc<TargetMember>, Rc<TurnQueue>);
+pub(crate) struct RunningGuard(Rc<TargetMember>, Rc<WaitQueue>);
 
 impl TargetMember {
     /// Whether one more request may be sent now.
@@ -112,7 +112,7 @@
     }
 
     /// Whether a request may be sent now, by what the target bears and told of itself; `stay` as in
-    /// [`TargetSigns::may_send`].
+    /// [`TargetSignals::may_send`].
     pub(crate) fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
         self.signs.get().may_send(stay, now) && self.cold.may_send(now) && self.has_turn(now)
     }
@@ -126,7 +126,7 @@
 
     /// Whether this VM or the mandate's holder was told a limit of it that may still count.
     pub(crate) fn may_be_limited(&self) -> bool {
-        let told = matches!(self.told_limit.get(), ToldLimit::Limited(_));
+        let told = matches!(self.told_limit.get(), ReportedLimit::Limited(_));
         told || self.signs.get().limit().is_some()
     }
 
@@ -213,7 +213,7 @@
 }
 
 impl RunningGuard {
-    pub(crate) fn new(member: &Rc<TargetMember>, service: &Rc<TurnQueue>) -> Self {
+    pub(crate) fn new(member: &Rc<TargetMember>, service: &Rc<WaitQueue>) -> Self {
         member.score.borrow_mut().running += 1;
         Self(Rc::clone(member), Rc::clone(service))
     }
@@ -250,18 +250,18 @@
     }
 
     /// This VM's share of what a target bears while it is cold.
-    fn cold_share(&self, vm: VmMark, entry: &TargetEntry) -> ColdShare {
+    fn cold_share(&self, vm: VmMark, entry: &TargetEntry) -> ColdQuota {
         let (Some(bounds), Some(rule)) = (self.bounds, self.cold_rule(&entry.service)) else {
-            return ColdShare::Unbounded;
+            return ColdQuota::Unbounded;
         };
         let most = rule.rate * bounds.overage + bounds.slack;
-        let bound = ColdBound { rate: rule.rate, most };
+        let bound = ColdBounds { rate: rule.rate, most };
         if self.is_divided(&entry.service) {
-            return ColdShare::of_everyone(bound, self.fleet.vms.len());
+            return ColdQuota::of_everyone(bound, self.fleet.vms.len());
         }
         match self.fleet.is_sender(vm, &entry.id, &entry.zone) {
-            true => ColdShare::of_sender(bound),
-            false => ColdShare::Nothing,
+            true => ColdQuota::of_sender(bound),
+            false => ColdQuota::Nothing,
         }
     }
 }
@@ -454,8 +454,8 @@
 ) -> Vec<&Rc<TargetMember>> {
     members.sort_by_cached_key(|member| xxhash_rust::xxh3::xxh3_64(member.id.as_bytes()));
     let slots = members.iter().map(|member| member.slots).sum();
-    let size = part_size(slots, vms, members.len(), MEMBERS_LEAST, most);
-    even_part(place, vms, members.len(), size).map(|place| members[place]).collect()
+    let size = subset_size(slots, vms, members.len(), MEMBERS_LEAST, most);
+    even_subset(place, vms, members.len(), size).map(|place| members[place]).collect()
 }
 
 /// The members with the highest hash of VM and target: a VM that does not know the fleet takes others than
@@ -483,15 +483,15 @@
         divided: Cell::new(false),
         told_cold: Cell::new(entry.cold_left),
         cold_rule: Cell::new(None),
-        cold: ColdGate::new(now + entry.cold_left, phase, now),
+        cold: ColdLimiter::new(now + entry.cold_left, phase, now),
         down_until: Cell::new(Timestamp::ZERO),
         signs,
         told_limit: Cell::default(),
-        rate: RateGate::new(rank),
+        rate: RateLimiter::new(rank),
         sharers: Cell::new(0),
         score: RefCell::new(TargetScore::new(USUAL_LATENCY)),
         limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
-        turns: TurnQueue::default(),
+        turns: WaitQueue::default(),
         pool: SharedPool::default(),
     }
 }
--- a/crates/nickellead_gateway/src/route_table.rs
+++ b/crates/nickellead_gateway/src/route_table.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use nickellead_limit::CallerPatience;
+use nickellead_limit::WaitTolerance;
 
 use crate::{Declarations, RoutePart, SharedRoute};
 
@@ -15,13 +15,13 @@
     /// Credit of each part: the part with the most credit is next.
     credits: Vec<Cell<f64>>,
     /// How long its callers wait.
-    pub(crate) patience: CallerPatience,
+    pub(crate) patience: WaitTolerance,
 }
 
 impl RouteEntry {
     fn new(rule: SharedRoute) -> Self {
         let credits = rule.parts.iter().map(|_| Cell::new(0.0)).collect();
-        Self { rule, credits, patience: CallerPatience::default() }
+        Self { rule, credits, patience: WaitTolerance::default() }
     }
 
     /// The part that the next request goes to: shares are kept to within one request.
--- a/crates/nickellead_gateway/src/worker/answers.rs
+++ b/crates/nickellead_gateway/src/worker/answers.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HeaderValue, RETRY_AFTER};
 use actix_http::{ConnectionType, HttpMessage, Request, Response, StatusCode};
 use nickellead_core::ErrorKind;
-use nickellead_event::{ANSWERED_SAMPLE, EventName, log_event};
+use nickellead_event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL, log_event};
 use nickellead_proxy::{error_response, is_connection_header};
 
 use super::{RequestWorker, WorkerBeliefs};
@@ -130,9 +130,11 @@
         log_event(EventName::RequestFailed, &pairs);
     }
 
-    /// Logs one in [`ANSWERED_SAMPLE`] answered requests, chosen by the id: the same ones on every VM.
+    /// Logs one in [`REQUEST_ANSWERED_SAMPLE_INTERVAL`] answered requests, chosen by the id: the same ones on every VM.
     pub(super) fn log_sample(&self, id: &str, planned: &PlannedRequest, answer: &TargetAnswer) {
-        if !xxhash_rust::xxh3::xxh3_64(id.as_bytes()).is_multiple_of(ANSWERED_SAMPLE) {
+        if !xxhash_rust::xxh3::xxh3_64(id.as_bytes())
+            .is_multiple_of(REQUEST_ANSWERED_SAMPLE_INTERVAL)
+        {
             return;
         }
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
--- a/crates/nickellead_gateway/src/worker/choose.rs
+++ b/crates/nickellead_gateway/src/worker/choose.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use nickellead_balance::{Candidate, ChoiceRules, choose};
+use nickellead_balance::{Candidate, SelectionRules, choose};
 use nickellead_core::{ErrorKind, Timestamp};
-use nickellead_limit::TurnQueue;
+use nickellead_limit::WaitQueue;
 use nickellead_time::BootClock;
 
 use super::{RequestWorker, TryState};
@@ -45,7 +45,7 @@
             let ahead = match divided {
                 true => turns.waiting(),
                 // The turns of all members come to the one queue.
-                false => turns.waiting() / self.part_size(service),
+                false => turns.waiting() / self.subset_size(service),
             };
             let left = self.time_for_turn(planned, &member, ahead).ok_or(ErrorKind::Overloaded)?;
             let mut turn = turns.join(planned.route.rule.priority);
@@ -110,7 +110,7 @@
     }
 
     /// Members of a service that this VM sends to.
-    fn part_size(&self, service: &str) -> usize {
+    fn subset_size(&self, service: &str) -> usize {
         self.beliefs.borrow().roster.subset(service).len().max(1)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// The queue of a service.
-    pub(super) fn queue(&self, service: &str) -> Rc<TurnQueue> {
+    pub(super) fn queue(&self, service: &str) -> Rc<WaitQueue> {
         let mut queues = self.queues.borrow_mut();
         match queues.get(service) {
             Some(queue) => Rc::clone(queue),
@@ -207,10 +207,10 @@
                 cold: member.cold.is_cold(now),
             })
             .collect();
-        let rules = ChoiceRules {
+        let rules = SelectionRules {
             ejection: self.policy.ejection.is_on(),
-            near_first: self.policy.near_preference.is_on(),
-            cold_last: self.policy.cold_avoidance.is_on(),
+            prefer_same_zone: self.policy.near_preference.is_on(),
+            avoid_cold: self.policy.cold_avoidance.is_on(),
         };
         let chosen = choose(&candidates, rules, now, &mut self.rng.borrow_mut());
         chosen.map(|place| Rc::clone(fresh[place])).ok_or_else(|| lacks_target(all, now))
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -21,10 +21,10 @@
 
 use actix_http::body::BoxBody;
 use actix_http::{HttpMessage, Request, Response};
-use nickellead_balance::ZoneReach;
+use nickellead_balance::ZoneReachability;
 use nickellead_core::ErrorKind;
 use nickellead_event::{EventName, log_event};
-use nickellead_limit::TurnQueue;
+use nickellead_limit::WaitQueue;
 use nickellead_range::RangeMap;
 use nickellead_time::BootClock;
 use tokio::sync::Notify;
@@ -125,8 +125,8 @@
     rng: RefCell<fastrand::Rng>,
     keys: LoadCounter,
     /// Requests that wait for any target of a service.
-    queues: RefCell<HashMap<String, Rc<TurnQueue>>>,
-    reach: ZoneReach,
+    queues: RefCell<HashMap<String, Rc<WaitQueue>>>,
+    reach: ZoneReachability,
     /// Ranges that nobody could be asked for, by fence, and since when.
     ownerless: RefCell<HashMap<u64, Instant>>,
     drain: Arc<DrainState>,
@@ -187,7 +187,7 @@
             rng: RefCell::new(fastrand::Rng::new()),
             keys: parts.keys,
             queues: RefCell::default(),
-            reach: ZoneReach::default(),
+            reach: ZoneReachability::default(),
             ownerless: RefCell::default(),
             drain: parts.drain,
             metrics: parts.metrics,
--- a/crates/nickellead_limit/src/admission.rs
+++ b/crates/nickellead_limit/src/admission.rs
@@ -161,7 +161,7 @@
 
 /// Which part of the requests for an owner's keys may be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AdmissionShares {
+pub struct AdmissionFractions {
     /// Of requests for keys that few ask for.
     pub light: f64,
     /// Of requests for each hot key.
@@ -173,7 +173,7 @@
 /// Keys that few ask for come first: they have not made the crowd. Hot keys share what is left, each
 /// getting what it asks for or as much as any other.
 #[must_use]
-pub fn share_out(rate: f64, demands: &[(u16, f64)]) -> AdmissionShares {
+pub fn allocate_rate(rate: f64, demands: &[(u16, f64)]) -> AdmissionFractions {
     let is_hot = |(_, demand): &&(u16, f64)| *demand >= rate * HOT_PART;
     let hot: Vec<(u16, f64)> = demands.iter().filter(is_hot).copied().collect();
     let whole: f64 = demands.iter().map(|(_, demand)| demand).sum();
@@ -182,7 +182,7 @@
     let light_share = if light > for_light { for_light / light } else { 1.0 };
     let level = common_level(rate - light * light_share, &hot);
     let hot = hot.into_iter().map(|(key, demand)| (key, (level / demand).min(1.0))).collect();
-    AdmissionShares { light: light_share, hot }
+    AdmissionFractions { light: light_share, hot }
 }
 
 /// The demand up to which all are met when `rate` is shared by those who ask.
--- a/crates/nickellead_limit/src/cold.rs
+++ b/crates/nickellead_limit/src/cold.rs
@@ -21,14 +21,14 @@
 
 /// What a target bears from all VMs together while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBound {
+pub struct ColdBounds {
     /// Requests a second, on average.
     pub rate: f64,
     /// Most requests in any one second.
     pub most: f64,
 }
 
-impl ColdBound {
+impl ColdBounds {
     /// Requests a second that VMs of one mind send.
     fn agreed_rate(&self) -> f64 {
         self.rate.min(self.most * AGREED_PART)
@@ -42,7 +42,7 @@
 
 /// What a VM may send a cold target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ColdShare {
+pub enum ColdQuota {
     /// As much as a warm one.
     Unbounded,
     /// Nothing: other VMs warm it.
@@ -54,10 +54,10 @@
     Everyone(f64),
 }
 
-impl ColdShare {
+impl ColdQuota {
     /// The share of one of [`COLD_SENDERS`] VMs.
     #[must_use]
-    pub fn of_sender(bound: ColdBound) -> Self {
+    pub fn of_sender(bound: ColdBounds) -> Self {
         let senders = COLD_SENDERS as f64;
         // Each of them may begin with a whole request.
         let rate = bound.rate.min(bound.most * AGREED_PART - senders).max(0.0);
@@ -66,7 +66,7 @@
 
     /// The share of one of this many VMs that ask an owner for its keys.
     #[must_use]
-    pub fn of_everyone(bound: ColdBound, vms: usize) -> Self {
+    pub fn of_everyone(bound: ColdBounds, vms: usize) -> Self {
         match vms {
             0 => Self::Nothing,
             _ => Self::Everyone(bound.agreed_rate() / vms as f64),
@@ -94,15 +94,15 @@
 
 /// A bucket of requests for one target that refills while the target is cold.
 #[derive(Debug)]
-pub struct ColdGate {
+pub struct ColdLimiter {
     until: Cell<Timestamp>,
-    share: Cell<ColdShare>,
+    share: Cell<ColdQuota>,
     phase: f64,
     tokens: Cell<f64>,
     filled: Cell<Timestamp>,
 }
 
-impl ColdGate {
+impl ColdLimiter {
     /// The gate of a target that is cold until then.
     ///
     /// `phase` from 0 to 1 differs from VM to VM, so that their parts of a request are not whole all at
@@ -111,7 +111,7 @@
     pub fn new(until: Timestamp, phase: f64, now: Timestamp) -> Self {
         Self {
             until: Cell::new(until),
-            share: Cell::new(ColdShare::Unbounded),
+            share: Cell::new(ColdQuota::Unbounded),
             phase,
             tokens: Cell::new(0.0),
             filled: Cell::new(now),
@@ -133,13 +133,13 @@
     /// Whether the target is cold, and what it is sent meanwhile is bounded.
     #[must_use]
     pub fn is_bounded(&self, now: Timestamp) -> bool {
-        self.is_cold(now) && self.share.get() != ColdShare::Unbounded
+        self.is_cold(now) && self.share.get() != ColdQuota::Unbounded
     }
 
     /// Whether this VM sends to the target at all while it is cold.
     #[must_use]
     pub fn sends(&self) -> bool {
-        self.share.get() != ColdShare::Nothing
+        self.share.get() != ColdQuota::Nothing
     }
 
     /// Notes until when the target is cold; one that was warm begins with a new bucket.
@@ -151,7 +151,7 @@
     }
 
     /// Notes this VM's share; another kind of share begins with a new bucket.
-    pub fn set_share(&self, share: ColdShare, now: Timestamp) {
+    pub fn set_share(&self, share: ColdQuota, now: Timestamp) {
         let known = self.share.replace(share);
         if std::mem::discriminant(&known) != std::mem::discriminant(&share) {
             self.restart(now);
--- a/crates/nickellead_limit/src/queue.rs
+++ b/crates/nickellead_limit/src/queue.rs
@@ -10,7 +10,7 @@
 /// A waiter that is woken looks again and may find that somebody else was
 /// faster; it then joins anew. A waiter that gave up is passed over.
 #[derive(Debug, Default)]
-pub struct TurnQueue {
+pub struct WaitQueue {
     waiting: RefCell<Waiting>,
 }
 
@@ -22,12 +22,12 @@
 
 /// A place in the queue; given up when dropped.
 #[derive(Debug)]
-pub struct Turn {
+pub struct QueueTicket {
     place: (u8, u64),
     woken: oneshot::Receiver<()>,
 }
 
-impl Turn {
+impl QueueTicket {
     /// Waits until it is this request's turn.
     pub async fn wait(&mut self) {
         // A queue that is gone wakes its waiters as well.
@@ -35,16 +35,16 @@
     }
 }
 
-impl TurnQueue {
+impl WaitQueue {
     /// Joins the queue; rank 0 goes first.
     #[must_use]
-    pub fn join(&self, rank: u8) -> Turn {
+    pub fn join(&self, rank: u8) -> QueueTicket {
         let mut waiting = self.waiting.borrow_mut();
         let place = (rank, waiting.next);
         waiting.next += 1;
         let (sender, woken) = oneshot::channel();
         waiting.turns.insert(place, sender);
-        Turn { place, woken }
+        QueueTicket { place, woken }
     }
 
     /// How many requests wait.
@@ -55,7 +55,7 @@
     }
 
     /// Gives a place up; a turn that came meanwhile goes to the next one.
-    pub fn give_up(&self, turn: &Turn) {
+    pub fn give_up(&self, turn: &QueueTicket) {
         let waited = self.waiting.borrow_mut().turns.remove(&turn.place).is_some();
         if !waited {
             self.wake_one();
--- a/crates/nickellead_limit/src/rate.rs
+++ b/crates/nickellead_limit/src/rate.rs
@@ -39,7 +39,7 @@
 /// Callers come unevenly, so a VM serves a request for sure only while its part is a good deal more than it is
 /// asked for, and by chance where its part is less than a request.
 #[must_use]
-pub fn kept_rate(rate: f64, vms: usize) -> f64 {
+pub fn sustainable_rate(rate: f64, vms: usize) -> f64 {
     rate * KEPT_PART * RatePart::of(rate, vms).burst.min(1.0)
 }
 
@@ -80,7 +80,7 @@
 /// drawn: else all VMs would have saved a whole request after a quiet time, and send it in one moment. For as
 /// long as a bucket takes to refill a VM has one request or none, with the chance that its part is.
 #[derive(Debug)]
-pub struct RateGate {
+pub struct RateLimiter {
     state: Cell<GateState>,
     vms: Cell<usize>,
     tokens: Cell<f64>,
@@ -89,7 +89,7 @@
     draws: Cell<u64>,
 }
 
-impl RateGate {
+impl RateLimiter {
     /// An open gate; `seed` differs from VM to VM and from target to target, so that draws do.
     #[must_use]
     pub fn new(seed: u64) -> Self {
--- a/crates/nickellead_limit/src/patience.rs
+++ b/crates/nickellead_limit/src/wait_tolerance.rs
@@ -16,11 +16,11 @@
 /// Callers that wait for unlike times look older than they are by the difference; it only decides who
 /// is refused first where there is no room.
 #[derive(Debug, Default)]
-pub struct CallerPatience {
+pub struct WaitTolerance {
     longest: Cell<Duration>,
 }
 
-impl CallerPatience {
+impl WaitTolerance {
     /// Takes in how long a caller still waits; gives how long it has been trying, as far as that
     /// shows.
     pub fn note(&self, left: Duration) -> Duration {
--- a/crates/nickellead_limit/tests/admission.rs
+++ b/crates/nickellead_limit/tests/admission.rs
@@ -9,7 +9,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use nickellead_limit::{OwnerAdmission, OwnerReport, share_out};
+use nickellead_limit::{OwnerAdmission, OwnerReport, allocate_rate};
 
 const PERIOD: Duration = Duration::from_millis(500);
 /// From what VMs see to the one that decides, in milliseconds.
@@ -119,7 +119,10 @@
             report.unhurried_part = MEAN_MS * 0.5 / GOAL_MS;
             admission.note(&report, PERIOD);
             let next = admission.rate().map_or(1.0, |rate| {
-                share_out(rate, &[(7, report.demand)]).hot.first().map_or(1.0, |(_, part)| *part)
+                allocate_rate(rate, &[(7, report.demand)])
+                    .hot
+                    .first()
+                    .map_or(1.0, |(_, part)| *part)
             });
             told.push_back((now + WORD_LAG, next));
         }
@@ -242,7 +245,7 @@
 fn light_keys_come_before_hot_ones() {
     let mut demands: Vec<(u16, f64)> = (0..50).map(|key| (key, 0.1)).collect();
     demands.push((700, 800.0));
-    let shares = share_out(10.0, &demands);
+    let shares = allocate_rate(10.0, &demands);
     assert!((shares.light - 1.0).abs() < 1e-9, "{shares:?}");
     assert_eq!(shares.hot.len(), 1);
     assert!((shares.hot[0].1 * 800.0 - 5.0).abs() < 1e-6, "{shares:?}");
@@ -250,7 +253,7 @@
 
 #[test]
 fn hot_keys_share_evenly_and_small_ones_are_met() {
-    let shares = share_out(10.0, &[(1, 100.0), (2, 100.0), (3, 2.0)]);
+    let shares = allocate_rate(10.0, &[(1, 100.0), (2, 100.0), (3, 2.0)]);
     let sent: Vec<f64> =
         shares.hot.iter().zip([100.0, 100.0, 2.0]).map(|((_, part), asked)| part * asked).collect();
     assert!((sent[0] - 4.0).abs() < 1e-6 && (sent[1] - 4.0).abs() < 1e-6, "{sent:?}");
@@ -261,6 +264,6 @@
 #[test]
 fn an_owner_without_hot_keys_is_limited_evenly() {
     let demands: Vec<(u16, f64)> = (0..100).map(|key| (key, 0.2)).collect();
-    let shares = share_out(10.0, &demands);
+    let shares = allocate_rate(10.0, &demands);
     assert!(shares.hot.is_empty() && (shares.light - 0.5).abs() < 1e-9, "{shares:?}");
 }
--- a/crates/nickellead_limit/tests/cold.rs
+++ b/crates/nickellead_limit/tests/cold.rs
@@ -5,16 +5,16 @@
 //! an overload.
 
 use nickellead_core::Timestamp;
-use nickellead_limit::{ColdBound, ColdGate, ColdShare, is_cold_sender};
+use nickellead_limit::{ColdBounds, ColdLimiter, ColdQuota, is_cold_sender};
 
 const VMS: usize = 88;
 /// Requests a second that one VM has for the target's service.
 const REQUESTS_A_VM: f64 = 13.0;
 const COLD_MS: u64 = 3_000;
-const BOUND: ColdBound = ColdBound { rate: 5.8, most: 5.8 * 1.5 + 8.0 };
+const BOUND: ColdBounds = ColdBounds { rate: 5.8, most: 5.8 * 1.5 + 8.0 };
 
 /// Times at which the VMs send, each with its gate, while the target is cold.
-fn play(gates: &[ColdGate], demand: f64, rng: &mut fastrand::Rng) -> Vec<u64> {
+fn play(gates: &[ColdLimiter], demand: f64, rng: &mut fastrand::Rng) -> Vec<u64> {
     let mut sent = Vec::new();
     for now in 0..COLD_MS {
         for gate in gates {
@@ -35,19 +35,19 @@
     sent.iter().map(within).max().unwrap_or_default()
 }
 
-fn gate(share: ColdShare, phase: f64) -> ColdGate {
-    let gate = ColdGate::new(Timestamp(COLD_MS), phase, Timestamp(0));
+fn gate(share: ColdQuota, phase: f64) -> ColdLimiter {
+    let gate = ColdLimiter::new(Timestamp(COLD_MS), phase, Timestamp(0));
     gate.set_share(share, Timestamp(0));
     gate
 }
 
 /// The gates of VMs that know only some of the fleet each.
-fn gates_of(ranks: &[u64], knows: impl Fn(usize, usize) -> bool) -> Vec<ColdGate> {
+fn gates_of(ranks: &[u64], knows: impl Fn(usize, usize) -> bool) -> Vec<ColdLimiter> {
     let share = |vm: usize| {
         let others = (0..ranks.len()).filter(|other| *other != vm && knows(vm, *other));
         match is_cold_sender(ranks[vm], others.map(|other| ranks[other])) {
-            true => ColdShare::of_sender(BOUND),
-            false => ColdShare::Nothing,
+            true => ColdQuota::of_sender(BOUND),
+            false => ColdQuota::Nothing,
         }
     };
     (0..ranks.len()).map(|vm| gate(share(vm), 0.0)).collect()
@@ -83,8 +83,8 @@
     let mut all = 0;
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let share = ColdShare::of_everyone(BOUND, VMS);
-        let gates: Vec<ColdGate> = (0..VMS).map(|_| gate(share, rng.f64())).collect();
+        let share = ColdQuota::of_everyone(BOUND, VMS);
+        let gates: Vec<ColdLimiter> = (0..VMS).map(|_| gate(share, rng.f64())).collect();
         let sent = play(&gates, 240.0 / VMS as f64, &mut rng);
         assert!(most_in_a_second(&sent) as f64 <= BOUND.most, "seed {seed}: {sent:?}");
         all += sent.len() as u64;
@@ -95,23 +95,23 @@
 
 #[test]
 fn a_vm_that_knows_no_fleet_sends_a_cold_target_nothing() {
-    assert_eq!(ColdShare::of_everyone(BOUND, 0), ColdShare::Nothing);
-    let gate = gate(ColdShare::Nothing, 1.0);
+    assert_eq!(ColdQuota::of_everyone(BOUND, 0), ColdQuota::Nothing);
+    let gate = gate(ColdQuota::Nothing, 1.0);
     assert!(!gate.may_send(Timestamp(COLD_MS - 1)));
     assert!(gate.may_send(Timestamp(COLD_MS)), "a warm one takes what comes");
 }
 
 #[test]
 fn a_small_bound_leaves_room_for_the_first_requests() {
-    let tight = ColdBound { rate: 5.8, most: 5.8 };
-    let ColdShare::Sender(rate) = ColdShare::of_sender(tight) else { panic!("a sender") };
+    let tight = ColdBounds { rate: 5.8, most: 5.8 };
+    let ColdQuota::Sender(rate) = ColdQuota::of_sender(tight) else { panic!("a sender") };
     let (senders, minds) = (2.0, 2.0);
     assert!(minds * senders * (1.0 + rate) <= tight.most, "{rate}");
 }
 
 #[test]
 fn a_target_that_turns_cold_again_begins_anew() {
-    let gate = gate(ColdShare::of_sender(BOUND), 0.0);
+    let gate = gate(ColdQuota::of_sender(BOUND), 0.0);
     gate.note_sent(Timestamp(0));
     assert!(!gate.may_send(Timestamp(1)));
     gate.set_until(Timestamp(9_000), Timestamp(6_000));
@@ -125,8 +125,8 @@
 #[test]
 fn a_request_that_was_not_sent_after_all_leaves_its_place_to_the_next_one() {
     let now = Timestamp(1_000);
-    let gate = ColdGate::new(Timestamp(10_000), 0.0, now);
-    gate.set_share(ColdShare::Sender(0.1), now);
+    let gate = ColdLimiter::new(Timestamp(10_000), 0.0, now);
+    gate.set_share(ColdQuota::Sender(0.1), now);
     gate.note_sent(now);
     assert!(!gate.may_send(now));
     gate.give_back(now);
--- a/crates/nickellead_limit/tests/limits.rs
+++ b/crates/nickellead_limit/tests/limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_limit::{AdaptiveLimit, CallerPatience, Turn, TurnQueue};
+use nickellead_limit::{AdaptiveLimit, QueueTicket, WaitQueue, WaitTolerance};
 use quickcheck::quickcheck;
 
 /// The latency target of these tests.
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_caller_that_comes_back_has_less_time_left() {
-    let patience = CallerPatience::default();
+    let patience = WaitTolerance::default();
     let millis = Duration::from_millis;
     assert_eq!(patience.note(millis(2_500)), Duration::ZERO);
     assert_eq!(patience.note(millis(2_200)), millis(300));
@@ -117,7 +117,7 @@
 /// One caller that waits for a minute must not make all others look old for good.
 #[test]
 fn the_word_of_one_patient_caller_is_forgotten() {
-    let patience = CallerPatience::default();
+    let patience = WaitTolerance::default();
     patience.note(Duration::from_secs(60));
     let usual = Duration::from_millis(2_500);
     for _ in 0..2_000 {
@@ -127,13 +127,13 @@
 }
 
 /// Whether a turn has come.
-async fn is_woken(turn: &mut Turn) -> bool {
+async fn is_woken(turn: &mut QueueTicket) -> bool {
     tokio::time::timeout(Duration::from_millis(50), turn.wait()).await.is_ok()
 }
 
 #[tokio::test]
 async fn the_most_urgent_goes_first_and_who_left_is_passed_over() {
-    let queue = TurnQueue::default();
+    let queue = WaitQueue::default();
     let mut later = queue.join(2);
     let mut urgent = queue.join(0);
     drop(queue.join(0));
@@ -150,7 +150,7 @@
 
 #[tokio::test]
 async fn a_turn_that_comes_too_late_goes_to_the_next() {
-    let queue = TurnQueue::default();
+    let queue = WaitQueue::default();
     let late = queue.join(0);
     let mut next = queue.join(0);
     queue.wake_one();
--- a/crates/nickellead_limit/tests/rate.rs
+++ b/crates/nickellead_limit/tests/rate.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use nickellead_core::Timestamp;
-use nickellead_limit::RateGate;
+use nickellead_limit::RateLimiter;
 
 const SPAN_MS: u64 = 4_000;
 const STEP_MS: u64 = 5;
@@ -30,7 +30,8 @@
     /// Times at which requests were sent, in milliseconds.
     fn play(&self) -> Vec<u64> {
         let mut random = Rng::with_seed(self.seed);
-        let gates: Vec<RateGate> = (0..self.vms).map(|_| RateGate::new(random.u64(..))).collect();
+        let gates: Vec<RateLimiter> =
+            (0..self.vms).map(|_| RateLimiter::new(random.u64(..))).collect();
         // A hash of the caller chooses the VM, so some get twice as many as others.
         let weights: Vec<f64> = (0..self.vms).map(|_| 0.5 + random.f64()).collect();
         let whole: f64 = weights.iter().sum();
@@ -100,7 +101,7 @@
 
 #[test]
 fn a_vm_that_knows_no_fleet_sends_nothing() {
-    let gate = RateGate::new(1);
+    let gate = RateLimiter::new(1);
     gate.set(Some(100.0), 0, Timestamp(1));
     assert!(!gate.may_send(Timestamp(10_000)));
     gate.set(Some(100.0), 2, Timestamp(10_000));
@@ -110,7 +111,7 @@
 #[test]
 fn a_rate_that_changes_with_each_answer_lets_no_more_through() {
     for vms in [3, 11, 90] {
-        let gates: Vec<RateGate> = (0..vms as u64).map(RateGate::new).collect();
+        let gates: Vec<RateLimiter> = (0..vms as u64).map(RateLimiter::new).collect();
         let mut sent = 0;
         for now in (1..4_000).step_by(10) {
             for gate in &gates {
@@ -127,7 +128,7 @@
 
 #[test]
 fn vms_come_back_by_and_by_once_the_need_is_over() {
-    let gate = RateGate::new(1);
+    let gate = RateLimiter::new(1);
     gate.set(Some(4.0), 1, Timestamp(1));
     let send_all = |from: u64, to: u64| {
         let mut sent = 0;
@@ -148,7 +149,7 @@
 
 #[test]
 fn a_request_that_was_not_sent_is_given_back() {
-    let gate = RateGate::new(1);
+    let gate = RateLimiter::new(1);
     gate.set(Some(1.0), 1, Timestamp(1));
     let now = Timestamp(1_500);
     assert!(gate.may_send(now));
--- a/crates/nickellead_proxy/src/answer_body.rs
+++ b/crates/nickellead_proxy/src/answer_body.rs
@@ -9,7 +9,7 @@
 use awc::error::PayloadError;
 use bytes::Bytes;
 use futures_util::Stream;
-use nickellead_route::GatePermit;
+use nickellead_route::ConcurrencyPermit;
 use tokio::time::{Sleep, sleep};
 
 use crate::deadline::Deadline;
@@ -20,7 +20,7 @@
 /// Holds the target's turn until the body's end.
 pub(crate) struct AnswerBody {
     response: ClientResponse,
-    _permit: GatePermit,
+    _permit: ConcurrencyPermit,
     /// When the body is given up.
     deadline: Deadline,
     // PERF: made when the body is first waited for, which small answers never are.
@@ -30,7 +30,7 @@
 impl AnswerBody {
     pub(crate) const fn new(
         response: ClientResponse,
-        permit: GatePermit,
+        permit: ConcurrencyPermit,
         deadline: Deadline,
     ) -> Self {
         Self { response, _permit: permit, deadline, alarm: None }
--- a/crates/nickellead_proxy/src/incoming.rs
+++ b/crates/nickellead_proxy/src/incoming.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use nickellead_api::{KeySource, OperationSpec, RepeatRule, UrgencyClass};
-use nickellead_core::{ErrorKind, KEY_LENGTH_MAX, ServiceKey};
+use nickellead_core::{ErrorKind, MAX_KEY_BYTES, ServiceKey};
 use nickellead_route::{RouteDecision, RoutingTable, ServiceRoute};
 
 use crate::headers::{DEADLINE_HEADER, number};
@@ -33,7 +33,7 @@
         let method = request.method().as_str();
         let operation = find_operation(service, method, operation)?;
         let key = read_key(request, &service.spec.key)?;
-        if key.len() > KEY_LENGTH_MAX {
+        if key.len() > MAX_KEY_BYTES {
             return Err(ErrorKind::KeyTooLong);
         }
         Ok(Self {
--- a/crates/nickellead_proxy/src/worker.rs
+++ b/crates/nickellead_proxy/src/worker.rs
@@ -14,7 +14,8 @@
 use nickellead_core::{Epoch, ErrorKind, OutcomeClass, ShardIndex, TargetKey};
 use nickellead_lease::RouteChange;
 use nickellead_route::{
-    GatePermit, OwnerRoute, RetryBudget, RoutingTable, TargetGate, TargetRoute, backoff,
+    ConcurrencyLimiter, ConcurrencyPermit, OwnerRoute, RetryBudget, RoutingTable, TargetRoute,
+    backoff,
 };
 use tokio::sync::Notify;
 use tokio::time::timeout;
@@ -71,7 +72,7 @@
     /// Whether any declarations are known.
     configured: Cell<bool>,
     changed: Notify,
-    gates: RefCell<HashMap<TargetKey, TargetGate>>,
+    gates: RefCell<HashMap<TargetKey, ConcurrencyLimiter>>,
     budget: RefCell<RetryBudget>,
     rng: RefCell<fastrand::Rng>,
     movers: Cell<u32>,
@@ -93,7 +94,7 @@
 /// The head of a target's answer, with the turn that its body goes on to hold.
 struct TargetAnswer {
     response: ClientResponse,
-    permit: GatePermit,
+    permit: ConcurrencyPermit,
     deadline: Deadline,
 }
 
@@ -221,8 +222,8 @@
         &self,
         state: &CallState<'_>,
         choice: &OwnerChoice,
-        gate: &TargetGate,
-    ) -> Result<GatePermit, ErrorKind> {
+        gate: &ConcurrencyLimiter,
+    ) -> Result<ConcurrencyPermit, ErrorKind> {
         let entering = timeout(state.deadline.left(), gate.enter(state.call.urgency)).await;
         let permit = entering.unwrap_or(Err(ErrorKind::DeadlineTooShort))?;
         // The owner may have changed while this request waited for its turn.
@@ -297,11 +298,11 @@
         }
     }
 
-    fn gate(&self, target: &TargetRoute) -> TargetGate {
+    fn gate(&self, target: &TargetRoute) -> ConcurrencyLimiter {
         let share = u32::from(target.connections).div_ceil(self.limits.sharers.max(1));
         let mut gates = self.gates.borrow_mut();
         let gate = gates.entry(target.key);
-        gate.or_insert_with(|| TargetGate::new(share, self.limits.queue)).clone()
+        gate.or_insert_with(|| ConcurrencyLimiter::new(share, self.limits.queue)).clone()
     }
 
     fn take_id(&self) -> u64 {
--- a/crates/nickellead_report/src/burn.rs
+++ b/crates/nickellead_report/src/burn.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use nickellead_event::{ANSWERED_SAMPLE, EventName};
+use nickellead_event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL};
 use serde::Serialize;
 
 use crate::LogLine;
@@ -88,8 +88,8 @@
     for line in lines.iter().filter(|line| line.at > end - window_s) {
         let server_error = line.field("status").is_some_and(|status| status.starts_with('5'));
         match (line.event, server_error) {
-            (EventName::RequestAnswered, false) => answered += ANSWERED_SAMPLE,
-            (EventName::RequestAnswered, true) => failed += ANSWERED_SAMPLE,
+            (EventName::RequestAnswered, false) => answered += REQUEST_ANSWERED_SAMPLE_INTERVAL,
+            (EventName::RequestAnswered, true) => failed += REQUEST_ANSWERED_SAMPLE_INTERVAL,
             _ => failed += 1,
         }
     }
--- a/crates/nickellead_report/src/explain.rs
+++ b/crates/nickellead_report/src/explain.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use nickellead_core::{ErrorKind, OutcomeClass};
-use nickellead_event::{ANSWERED_SAMPLE, EventName};
+use nickellead_event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL};
 
 use crate::LogLine;
 use crate::cause::{tell_crowd, tell_decider, tell_targets};
@@ -52,7 +52,7 @@
     let mut missing = Vec::new();
     if own.is_empty() {
         missing.push(format!(
-            "no line names this request: it was answered (one in {ANSWERED_SAMPLE} answers is \
+            "no line names this request: it was answered (one in {REQUEST_ANSWERED_SAMPLE_INTERVAL} answers is \
              logged), or the log of the VM that took it is not here"
         ));
     }
--- a/crates/nickellead_route/src/gate.rs
+++ b/crates/nickellead_route/src/concurrency.rs
@@ -9,7 +9,7 @@
 
 /// Bounds the requests under way at one target, and those that wait for a turn.
 #[derive(Clone, Debug)]
-pub struct TargetGate {
+pub struct ConcurrencyLimiter {
     turns: std::sync::Arc<Semaphore>,
     waiting: Rc<Cell<u32>>,
     queue: u32,
@@ -17,9 +17,9 @@
 
 /// Leave to have one request under way; given back when dropped.
 #[derive(Debug)]
-pub struct GatePermit(#[allow(dead_code)] OwnedSemaphorePermit);
+pub struct ConcurrencyPermit(#[allow(dead_code)] OwnedSemaphorePermit);
 
-impl TargetGate {
+impl ConcurrencyLimiter {
     /// A gate for `width` requests side by side and `queue` that wait.
     #[must_use]
     pub fn new(width: u32, queue: u32) -> Self {
@@ -29,8 +29,8 @@
 
     /// Takes a turn, if one is free.
     #[must_use]
-    pub fn try_enter(&self) -> Option<GatePermit> {
-        self.turns.clone().try_acquire_owned().ok().map(GatePermit)
+    pub fn try_enter(&self) -> Option<ConcurrencyPermit> {
+        self.turns.clone().try_acquire_owned().ok().map(ConcurrencyPermit)
     }
 
     /// Waits for a turn.
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// [`ErrorKind::QueueFull`] at once when too many wait already.
-    pub async fn enter(&self, urgency: UrgencyClass) -> Result<GatePermit, ErrorKind> {
+    pub async fn enter(&self, urgency: UrgencyClass) -> Result<ConcurrencyPermit, ErrorKind> {
         if let Some(permit) = self.try_enter() {
             return Ok(permit);
         }
@@ -53,7 +53,7 @@
         }
         let _waiting = WaitCount::new(&self.waiting);
         let permit = self.turns.clone().acquire_owned().await;
-        permit.map(GatePermit).map_err(|_| ErrorKind::Internal)
+        permit.map(ConcurrencyPermit).map_err(|_| ErrorKind::Internal)
     }
 
     /// Requests that wait for a turn.
--- a/crates/nickellead_route/src/lib.rs
+++ b/crates/nickellead_route/src/lib.rs
@@ -4,15 +4,15 @@
 //!   and never goes back to an older version.
 //! - [`RoutingTable`] is what a request worker reads: from service and key to
 //!   target and epoch, with no allocation.
-//! - [`TargetGate`] bounds what one worker has under way at one target.
+//! - [`ConcurrencyLimiter`] bounds what one worker has under way at one target.
 //! - [`RetryBudget`] bounds how much retries may add to the load.
 
-mod gate;
+mod concurrency;
 mod retry;
 mod table;
 mod zone_table;
 
-pub use gate::{GatePermit, TargetGate};
+pub use concurrency::{ConcurrencyLimiter, ConcurrencyPermit};
 pub use retry::{RetryBudget, backoff};
 pub use table::{OwnerRoute, RouteDecision, RoutingTable, ServiceRoute, TargetRoute};
 pub use zone_table::{DeltaOutcome, OwnerCounts, ZoneSummary, ZoneTable};
