--- a/crates/nickellead_balance/src/baseline.rs
+++ b/crates/nickellead_balance/src/baseline.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BaselineLatency {
     millis: f64,
-    answers: u32,
+    samples: u32,
     /// Part of the usual weights that an answer has.
     weight: f64,
 }
 
 impl Default for BaselineLatency {
     fn default() -> Self {
-        Self::weighing(1.0)
+        Self::with_weight_factor(1.0)
     }
 }
 
@@ -28,15 +28,15 @@
     /// A time that gives an answer this part of its usual weight: the answers that all VMs see are
     /// many, and each may be three times as fast or as slow as the mean.
     #[must_use]
-    pub fn weighing(weight: f64) -> Self {
-        Self { millis: 0.0, answers: 0, weight }
+    pub fn with_weight_factor(weight: f64) -> Self {
+        Self { millis: 0.0, samples: 0, weight }
     }
 
     /// Takes in an answer that took `millis` milliseconds.
-    pub fn note(&mut self, millis: f64) {
-        self.answers = self.answers.saturating_add(1);
+    pub fn record(&mut self, millis: f64) {
+        self.samples = self.samples.saturating_add(1);
         let usual = if millis < self.millis { FASTER_WEIGHT } else { SLOWER_WEIGHT };
-        let weight = (usual * self.weight).max(1.0 / f64::from(self.answers));
+        let weight = (usual * self.weight).max(1.0 / f64::from(self.samples));
         self.millis += (millis - self.millis) * weight;
     }
 
@@ -48,7 +48,7 @@
 
     /// Answers taken in so far.
     #[must_use]
-    pub fn answers(&self) -> u32 {
-        self.answers
+    pub fn samples(&self) -> u32 {
+        self.samples
     }
 }
--- a/crates/nickellead_balance/src/reachability.rs
+++ b/crates/nickellead_balance/src/reachability.rs
@@ -39,27 +39,27 @@
 
 impl ZoneReachability {
     /// Notes that a connection to a target met silence.
-    pub fn note_silent(&self, zone: &str, target: &str, now: Timestamp) {
+    pub fn record_connect_timeout(&self, zone: &str, target: &str, now: Timestamp) {
         let mut zones = self.0.borrow_mut();
         let silence = zones.entry(zone.to_owned()).or_default();
         silence.targets.insert(target.to_owned(), now);
     }
 
     /// Notes that a target answered.
-    pub fn note_answer(&self, zone: &str) {
+    pub fn record_response(&self, zone: &str) {
         self.0.borrow_mut().remove(zone);
     }
 
     /// Whether a request may be sent to a zone now: it is in reach, or a try is due.
     #[must_use]
-    pub fn may_try(&self, zone: &str, now: Timestamp) -> bool {
+    pub fn may_attempt(&self, zone: &str, now: Timestamp) -> bool {
         let zones = self.0.borrow();
         let tries = |silence: &ZoneSilence| now.since(silence.tried) >= TRY_PAUSE;
         zones.get(zone).is_none_or(|silence| !silence.is_out(now) || tries(silence))
     }
 
     /// Notes that a request is sent to a zone.
-    pub fn note_try(&self, zone: &str, now: Timestamp) {
+    pub fn record_attempt(&self, zone: &str, now: Timestamp) {
         if let Some(silence) = self.0.borrow_mut().get_mut(zone) {
             silence.tried = now;
         }
--- a/crates/nickellead_balance/src/score.rs
+++ b/crates/nickellead_balance/src/score.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetOutcome {
     /// A whole answer, after this long.
-    Answered(Duration),
+    Responded(Duration),
     /// An answer that reports a failure of the target.
     Failed,
     /// The target shed the request before running it.
     Shed,
     /// No connection, a broken one, or no answer in time.
-    Broken,
+    NoResponse,
     /// The caller left; this long had passed.
     Abandoned(Duration),
 }
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug)]
 pub struct TargetScore {
     /// Requests of this VM under way at the target.
-    pub running: u32,
+    pub in_flight: u32,
     latency_ms: f64,
     /// Answers that the latency was learned from.
     timed: u32,
-    unhurried: BaselineLatency,
+    baseline: BaselineLatency,
     trouble: f64,
     answers: u32,
     ejected_until: Timestamp,
@@ -62,10 +62,10 @@
     #[must_use]
     pub fn new(usual: Duration) -> Self {
         Self {
-            running: 0,
+            in_flight: 0,
             latency_ms: usual.as_secs_f64() * 1_000.0,
             timed: 0,
-            unhurried: BaselineLatency::default(),
+            baseline: BaselineLatency::default(),
             trouble: 0.0,
             answers: 0,
             ejected_until: Timestamp::ZERO,
@@ -74,40 +74,40 @@
     }
 
     /// Takes in the outcome of one try.
-    pub fn note(&mut self, outcome: TargetOutcome, now: Timestamp) {
+    pub fn record(&mut self, outcome: TargetOutcome, now: Timestamp) {
         self.answers = self.answers.saturating_add(1);
         match outcome {
-            TargetOutcome::Answered(length) => {
-                self.note_latency(length);
-                self.note_trouble(0.0, now);
+            TargetOutcome::Responded(length) => {
+                self.record_latency(length);
+                self.record_trouble(0.0, now);
             }
             TargetOutcome::Abandoned(length) => {
                 // The answer would have taken longer than this.
                 if length.as_secs_f64() * 1_000.0 > self.latency_ms {
-                    self.note_latency(length);
+                    self.record_latency(length);
                 }
             }
-            TargetOutcome::Shed => self.note_trouble(SHED_TROUBLE, now),
-            TargetOutcome::Failed | TargetOutcome::Broken => self.note_trouble(1.0, now),
+            TargetOutcome::Shed => self.record_trouble(SHED_TROUBLE, now),
+            TargetOutcome::Failed | TargetOutcome::NoResponse => self.record_trouble(1.0, now),
         }
     }
 
-    fn note_latency(&mut self, length: Duration) {
+    fn record_latency(&mut self, length: Duration) {
         let millis = length.as_secs_f64() * 1_000.0;
         // The first answers are simply averaged: a VM of a large fleet may see no more than these.
         self.timed = self.timed.saturating_add(1);
         let weight = LATENCY_WEIGHT.max(1.0 / f64::from(self.timed));
         self.latency_ms += (millis - self.latency_ms) * weight;
-        self.unhurried.note(millis);
+        self.baseline.record(millis);
     }
 
     /// Time of an answer when the target is not hurried, in milliseconds; 0 before the first one.
     #[must_use]
-    pub fn unhurried_ms(&self) -> f64 {
-        self.unhurried.millis()
+    pub fn baseline_ms(&self) -> f64 {
+        self.baseline.millis()
     }
 
-    fn note_trouble(&mut self, trouble: f64, now: Timestamp) {
+    fn record_trouble(&mut self, trouble: f64, now: Timestamp) {
         self.trouble += (trouble - self.trouble) * TROUBLE_WEIGHT;
         if trouble == 0.0 {
             if self.trouble < CALM_SHARE {
@@ -129,7 +129,7 @@
     /// Expected cost of one more request, in milliseconds.
     #[must_use]
     pub fn cost(&self, slots: u32) -> f64 {
-        let queued = f64::from(self.running) / f64::from(slots.max(1));
+        let queued = f64::from(self.in_flight) / f64::from(slots.max(1));
         self.latency_ms * (1.0 + queued) * (1.0 + TROUBLE_PENALTY * self.trouble)
     }
 }
--- a/crates/nickellead_balance/src/selection.rs
+++ b/crates/nickellead_balance/src/selection.rs
@@ -12,7 +12,7 @@
     /// Requests it runs side by side.
     pub slots: u32,
     /// Whether it is in this VM's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Whether it started a moment ago and is still slow.
     pub cold: bool,
 }
@@ -59,7 +59,7 @@
 
 fn cost(candidate: &Candidate<'_>, rules: SelectionRules) -> f64 {
     let mut cost = candidate.score.cost(candidate.slots);
-    if rules.prefer_same_zone && !candidate.near {
+    if rules.prefer_same_zone && !candidate.same_zone {
         cost *= FAR_FACTOR;
     }
     if rules.avoid_cold && candidate.cold {
--- a/crates/nickellead_balance/src/signals.rs
+++ b/crates/nickellead_balance/src/signals.rs
@@ -45,7 +45,7 @@
 
 impl TargetSignals {
     /// Notes that the target said that it leaves; tells whether that is new.
-    pub fn note_leaving(&mut self, now: Timestamp) -> bool {
+    pub fn observe_leaving(&mut self, now: Timestamp) -> bool {
         let new = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
         new
@@ -54,7 +54,7 @@
     /// Notes that the target wants nothing for so long; tells whether it was not paused already.
     ///
     /// Of several such wishes the latest end counts.
-    pub fn note_pause(&mut self, pause: Duration, now: Timestamp) -> bool {
+    pub fn observe_pause(&mut self, pause: Duration, now: Timestamp) -> bool {
         let new = !self.is_paused(now);
         self.paused_until = self.paused_until.max(now + pause);
         new
@@ -65,7 +65,7 @@
     ///
     /// Answers overtake each other, so one that allows more counts only if its request was sent after the last
     /// answer came that allowed less.
-    pub fn note_limit(&mut self, limit: Option<f64>, sent: Timestamp, now: Timestamp) -> bool {
+    pub fn observe_limit(&mut self, limit: Option<f64>, sent: Timestamp, now: Timestamp) -> bool {
         let known = self.limit;
         if known
             .is_some_and(|known| limit.is_none_or(|rate| rate > known.rate) && sent <= known.heard)
@@ -88,7 +88,7 @@
     /// The same, where the mandate's holder tells what other VMs heard. What this VM heard itself stands for as
     /// long as the holder may not have learned it; after that its word is the newer one.
     #[must_use]
-    pub fn limit_beside(&self, told: ReportedLimit, now: Timestamp) -> Option<f64> {
+    pub fn effective_limit(&self, told: ReportedLimit, now: Timestamp) -> Option<f64> {
         let fresh = |heard: Timestamp| now.since(heard) < HEARD_FRESH;
         match (self.limit, told) {
             (Some(own), _) if fresh(own.heard) => Some(own.rate),
@@ -113,19 +113,19 @@
 
     /// How much longer the target wants nothing.
     #[must_use]
-    pub fn pause_left(&self, now: Timestamp) -> Duration {
+    pub fn pause_remaining(&self, now: Timestamp) -> Duration {
         self.paused_until.since(now)
     }
 
     /// Whether anything that it told still counts.
     #[must_use]
-    pub fn is_told(&self, now: Timestamp) -> bool {
+    pub fn has_active_signal(&self, now: Timestamp) -> bool {
         self.leaving_since.is_some() || self.limit.is_some() || self.is_paused(now)
     }
 
     /// Whether the target still serves what it alone can: it does for `stay` after it said that it leaves.
     #[must_use]
-    pub fn stays(&self, stay: Duration, now: Timestamp) -> bool {
+    pub fn serves_owned_keys(&self, stay: Duration, now: Timestamp) -> bool {
         self.leaving_since.is_none_or(|since| now.since(since) < stay)
     }
 
@@ -133,6 +133,6 @@
     /// the target goes on serving what it alone can.
     #[must_use]
     pub fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
-        self.stays(stay, now) && !self.is_paused(now)
+        self.serves_owned_keys(stay, now) && !self.is_paused(now)
     }
 }
--- a/crates/nickellead_balance/tests/choice.rs
+++ b/crates/nickellead_balance/tests/choice.rs
@@ -15,13 +15,13 @@
 fn member(answer_ms: u64) -> TargetScore {
     let mut score = TargetScore::new(USUAL);
     for _ in 0..30 {
-        score.note(TargetOutcome::Answered(Duration::from_millis(answer_ms)), Timestamp(1));
+        score.record(TargetOutcome::Responded(Duration::from_millis(answer_ms)), Timestamp(1));
     }
     score
 }
 
 fn candidate(score: &TargetScore) -> Candidate<'_> {
-    Candidate { score, slots: 4, near: true, cold: false }
+    Candidate { score, slots: 4, same_zone: true, cold: false }
 }
 
 /// How often each of the candidates is chosen in a thousand requests.
@@ -48,12 +48,12 @@
 fn three_answers_tell_a_slow_target_from_a_fast_one() {
     let told = |answer_ms| {
         let mut score = TargetScore::new(USUAL);
-        let outcome = TargetOutcome::Answered(Duration::from_millis(answer_ms));
-        (0..3).for_each(|_| score.note(outcome, Timestamp(1)));
+        let outcome = TargetOutcome::Responded(Duration::from_millis(answer_ms));
+        (0..3).for_each(|_| score.record(outcome, Timestamp(1)));
         score
     };
     let (fast, slow) = (told(240), told(720));
-    let ratio = slow.unhurried_ms() / fast.unhurried_ms();
+    let ratio = slow.baseline_ms() / fast.baseline_ms();
     assert!((2.5..3.5).contains(&ratio), "unhurried answers: {ratio}");
     let ratio = slow.cost(4) / fast.cost(4);
     assert!((2.5..3.5).contains(&ratio), "cost: {ratio}");
@@ -63,7 +63,7 @@
 fn cold_and_far_members_get_less() {
     let score = member(60);
     let cold = Candidate { cold: true, ..candidate(&score) };
-    let far = Candidate { near: false, ..candidate(&score) };
+    let far = Candidate { same_zone: false, ..candidate(&score) };
     let counts = shares(&[candidate(&score), cold, far], Timestamp(2));
     assert!(counts[0] > counts[1] && counts[0] > counts[2], "{counts:?}");
 }
@@ -72,7 +72,7 @@
 fn a_failing_member_is_left_out_and_comes_back() {
     let (sound, mut failing) = (member(60), member(60));
     for _ in 0..6 {
-        failing.note(TargetOutcome::Failed, Timestamp(100));
+        failing.record(TargetOutcome::Failed, Timestamp(100));
     }
     let pool = [candidate(&sound), candidate(&failing)];
     assert_eq!(shares(&pool, Timestamp(150))[1], 0);
@@ -83,7 +83,7 @@
 fn when_most_fail_the_fault_is_elsewhere() {
     let mut scores = [member(60), member(60), member(60)];
     for score in &mut scores[..2] {
-        (0..6).for_each(|_| score.note(TargetOutcome::Broken, Timestamp(100)));
+        (0..6).for_each(|_| score.record(TargetOutcome::NoResponse, Timestamp(100)));
     }
     let pool: Vec<_> = scores.iter().map(candidate).collect();
     let counts = shares(&pool, Timestamp(150));
--- a/crates/nickellead_balance/tests/signs.rs
+++ b/crates/nickellead_balance/tests/signs.rs
@@ -54,11 +54,11 @@
             now += u64::from(pause) * 4;
             match step {
                 SignStep::Leaves => {
-                    signs.note_leaving(Timestamp(now));
+                    signs.observe_leaving(Timestamp(now));
                     said.leaving.push(now);
                 }
                 SignStep::Pauses(length) => {
-                    signs.note_pause(Duration::from_millis(length.into()), Timestamp(now));
+                    signs.observe_pause(Duration::from_millis(length.into()), Timestamp(now));
                     said.pauses.push((now, length.into()));
                 }
                 SignStep::NewLife => (signs, said) = Default::default(),
@@ -72,8 +72,8 @@
 #[test]
 fn a_shorter_pause_does_not_end_a_longer_one() {
     let mut signs = TargetSignals::default();
-    assert!(signs.note_pause(Duration::from_secs(3), Timestamp(0)));
-    assert!(!signs.note_pause(Duration::from_millis(100), Timestamp(500)));
+    assert!(signs.observe_pause(Duration::from_secs(3), Timestamp(0)));
+    assert!(!signs.observe_pause(Duration::from_millis(100), Timestamp(500)));
     assert!(!signs.may_send(STAY, Timestamp(2_999)));
     assert!(signs.may_send(STAY, Timestamp(3_000)));
 }
@@ -81,8 +81,8 @@
 #[test]
 fn a_second_word_of_leaving_puts_nothing_off() {
     let mut signs = TargetSignals::default();
-    assert!(signs.note_leaving(Timestamp(0)));
-    assert!(!signs.note_leaving(Timestamp(900)));
+    assert!(signs.observe_leaving(Timestamp(0)));
+    assert!(!signs.observe_leaving(Timestamp(900)));
     assert!(signs.may_send(STAY, Timestamp(999)));
     assert!(!signs.may_send(STAY, Timestamp(1_000)));
 }
@@ -121,7 +121,7 @@
         let mut signs = TargetSignals::default();
         let mut heard = false;
         limit_answers(steps, at).into_iter().all(|answer| {
-            signs.note_limit(answer.limit, Timestamp(answer.sent), Timestamp(answer.came));
+            signs.observe_limit(answer.limit, Timestamp(answer.sent), Timestamp(answer.came));
             heard |= answer.limit == Some(5.0);
             !heard || signs.limit() == Some(5.0)
         })
@@ -138,7 +138,7 @@
         let last = named.map(|answer| answer.came).max().unwrap_or_default();
         let mut ended = false;
         answers.into_iter().all(|answer| {
-            signs.note_limit(answer.limit, Timestamp(answer.sent), Timestamp(answer.came));
+            signs.observe_limit(answer.limit, Timestamp(answer.sent), Timestamp(answer.came));
             ended |= answer.sent > last;
             !ended || signs.limit().is_none()
         })
@@ -148,12 +148,12 @@
 #[test]
 fn an_answer_that_was_under_way_when_the_limit_came_does_not_end_it() {
     let mut signs = TargetSignals::default();
-    assert!(signs.note_limit(Some(5.0), Timestamp(100), Timestamp(120)));
-    assert!(!signs.note_limit(None, Timestamp(110), Timestamp(130)));
-    assert!(!signs.note_limit(Some(9.0), Timestamp(120), Timestamp(140)));
+    assert!(signs.observe_limit(Some(5.0), Timestamp(100), Timestamp(120)));
+    assert!(!signs.observe_limit(None, Timestamp(110), Timestamp(130)));
+    assert!(!signs.observe_limit(Some(9.0), Timestamp(120), Timestamp(140)));
     assert_eq!(signs.limit(), Some(5.0));
-    assert!(signs.note_limit(Some(4.0), Timestamp(90), Timestamp(150)), "less counts at once");
-    assert!(signs.note_limit(None, Timestamp(151), Timestamp(160)));
+    assert!(signs.observe_limit(Some(4.0), Timestamp(90), Timestamp(150)), "less counts at once");
+    assert!(signs.observe_limit(None, Timestamp(151), Timestamp(160)));
     assert_eq!(signs.limit(), None);
 }
 
@@ -161,12 +161,12 @@
 fn what_a_vm_heard_itself_goes_before_the_holders_word_until_the_holder_can_know_it() {
     let mut signs = TargetSignals::default();
     let told = ReportedLimit::Limited(3.0);
-    assert_eq!(signs.limit_beside(told, Timestamp(9_000)), Some(3.0));
-    signs.note_limit(None, Timestamp(9_000), Timestamp(9_010));
-    assert_eq!(signs.limit_beside(told, Timestamp(9_100)), None);
-    assert_eq!(signs.limit_beside(told, Timestamp(20_000)), Some(3.0));
-    signs.note_limit(Some(7.0), Timestamp(20_000), Timestamp(20_010));
-    assert_eq!(signs.limit_beside(ReportedLimit::Unlimited, Timestamp(20_100)), Some(7.0));
-    assert_eq!(signs.limit_beside(ReportedLimit::Unlimited, Timestamp(30_000)), None);
-    assert_eq!(signs.limit_beside(ReportedLimit::Unknown, Timestamp(30_000)), Some(7.0));
+    assert_eq!(signs.effective_limit(told, Timestamp(9_000)), Some(3.0));
+    signs.observe_limit(None, Timestamp(9_000), Timestamp(9_010));
+    assert_eq!(signs.effective_limit(told, Timestamp(9_100)), None);
+    assert_eq!(signs.effective_limit(told, Timestamp(20_000)), Some(3.0));
+    signs.observe_limit(Some(7.0), Timestamp(20_000), Timestamp(20_010));
+    assert_eq!(signs.effective_limit(ReportedLimit::Unlimited, Timestamp(20_100)), Some(7.0));
+    assert_eq!(signs.effective_limit(ReportedLimit::Unlimited, Timestamp(30_000)), None);
+    assert_eq!(signs.effective_limit(ReportedLimit::Unknown, Timestamp(30_000)), Some(7.0));
 }
--- a/crates/nickellead_core/src/error.rs
+++ b/crates/nickellead_core/src/error.rs
@@ -67,7 +67,7 @@
 
             /// The row of the table for this kind.
             #[must_use]
-            pub const fn answer(self) -> ErrorResponse {
+            pub const fn response(self) -> ErrorResponse {
                 match self {
                     $(Self::$kind => ErrorResponse {
                         kind: self,
--- a/crates/nickellead_core/tests/errors.rs
+++ b/crates/nickellead_core/tests/errors.rs
@@ -17,7 +17,7 @@
          | code | status | outcome | come back after | meaning |\n|---|---|---|---|---|\n",
     );
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let retry = answer.retry_after_ms.map_or("-".to_owned(), |millis| format!("{millis} ms"));
         page.push_str(&format!(
             "| `{}` | {} | {} | {retry} | {} |\n",
@@ -40,10 +40,10 @@
 
 #[test]
 fn codes_differ_and_unknown_outcomes_never_invite_a_repeat() {
-    let codes: BTreeSet<&str> = ErrorKind::ALL.iter().map(|kind| kind.answer().code).collect();
+    let codes: BTreeSet<&str> = ErrorKind::ALL.iter().map(|kind| kind.response().code).collect();
     assert_eq!(codes.len(), ErrorKind::ALL.len());
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         assert!((400..600).contains(&answer.status), "{kind:?}");
         if answer.outcome == OutcomeClass::Unknown {
             assert_eq!(answer.retry_after_ms, None, "{kind:?}");
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -58,7 +58,7 @@
     fn default() -> Self {
         Self {
             born: None,
-            unhurried: BaselineLatency::weighing(ANSWER_WEIGHT),
+            unhurried: BaselineLatency::with_weight_factor(ANSWER_WEIGHT),
             goal_ms: 0.0,
             counts: AnswerCounts::default(),
             admission: OwnerAdmission::default(),
@@ -78,7 +78,7 @@
             return;
         }
         let mean = counts.total_ms / f64::from(counts.answered);
-        (0..counts.answered.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.note(mean));
+        (0..counts.answered.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.record(mean));
         self.goal_ms = counts.total_ms / counts.goal_parts.max(f64::EPSILON);
     }
 
@@ -91,13 +91,17 @@
     /// The report of the last period, for an owner with these slots and this demand a second.
     fn report(&self, slots: u32, demand: f64) -> OwnerReport {
         let millis = self.unhurried.millis();
-        let known = self.unhurried.answers() > 0 && millis > 0.0;
+        let known = self.unhurried.samples() > 0 && millis > 0.0;
         OwnerReport {
-            answered: self.counts.answered,
-            goal_parts: self.counts.goal_parts,
+            responses: self.counts.answered,
+            latency_ratio_sum: self.counts.goal_parts,
             demand,
-            unhurried_rate: known.then(|| f64::from(slots) * 1_000.0 / millis),
-            unhurried_part: if known { millis / self.goal_ms.max(f64::EPSILON) } else { 0.0 },
+            baseline_rate: known.then(|| f64::from(slots) * 1_000.0 / millis),
+            baseline_latency_ratio: if known {
+                millis / self.goal_ms.max(f64::EPSILON)
+            } else {
+                0.0
+            },
         }
     }
 }
@@ -209,7 +213,7 @@
             counts.map(|(key, count)| (key, count / RECENT_LENGTH)).collect();
         let demand = demands.iter().map(|(_, demand)| demand).sum();
         let before = known.admission.rate();
-        known.admission.note(&known.report(target.slots, demand), BALANCE_PERIOD);
+        known.admission.update(&known.report(target.slots, demand), BALANCE_PERIOD);
         let rate = known.admission.rate();
         if before.is_some() != rate.is_some() {
             log_limit(owner, rate, demand, known);
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -89,7 +89,7 @@
     /// Time of an unhurried answer by target, in milliseconds, of those that have shown it.
     fn known_speeds(&self) -> HashMap<String, f64> {
         let figures = self.figures.borrow();
-        let known = figures.iter().filter(|(_, one)| one.unhurried.answers() >= SPEED_ANSWERS);
+        let known = figures.iter().filter(|(_, one)| one.unhurried.samples() >= SPEED_ANSWERS);
         known.map(|(target, one)| (target.clone(), one.unhurried.millis())).collect()
     }
 
--- a/crates/nickellead_gateway/src/metrics/requests.rs
+++ b/crates/nickellead_gateway/src/metrics/requests.rs
@@ -101,7 +101,7 @@
 
     /// Counts a request that this VM ended itself.
     pub(crate) fn count_error(&self, kind: ErrorKind, service: Option<&str>) {
-        let answer = kind.answer();
+        let answer = kind.response();
         self.errors.get_or_create(&ErrorLabel { error: answer.code }).inc();
         self.count_outcome(service.unwrap_or(NO_SERVICE), answer.outcome.as_str());
     }
--- a/crates/nickellead_gateway/src/roster.rs
+++ b/crates/nickellead_gateway/src/roster.rs
@@ -108,7 +108,7 @@
 impl TargetMember {
     /// Whether one more request may be sent now.
     pub(crate) fn has_room(&self) -> bool {
-        self.limit.get().has_room(self.score.borrow().running)
+        self.limit.get().has_capacity(self.score.borrow().in_flight)
     }
 
     /// Whether a request may be sent now, by what the target bears and told of itself; `stay` as in
@@ -119,8 +119,8 @@
 
     /// Whether its limit has room for one more request of this VM.
     pub(crate) fn has_turn(&self, now: Timestamp) -> bool {
-        let limit = self.signs.get().limit_beside(self.told_limit.get(), now);
-        self.rate.set(limit, self.sharers.get(), now);
+        let limit = self.signs.get().effective_limit(self.told_limit.get(), now);
+        self.rate.set_limit(limit, self.sharers.get(), now);
         self.rate.may_send(now)
     }
 
@@ -135,16 +135,16 @@
     pub(crate) fn take_turn(&self, stay: Duration, now: Timestamp) -> bool {
         let may_send = self.may_send(stay, now);
         if may_send {
-            self.cold.note_sent(now);
-            self.rate.note_sent(now);
+            self.cold.record_sent(now);
+            self.rate.record_sent(now);
         }
         may_send
     }
 
     /// Gives back what a request took that was not sent after all.
     pub(crate) fn give_turn_back(&self, now: Timestamp) {
-        self.cold.give_back(now);
-        self.rate.give_back(now);
+        self.cold.refund(now);
+        self.rate.refund(now);
     }
 
     /// Whether it said that it leaves.
@@ -169,8 +169,8 @@
 
     /// Reckons with it being cold until then.
     fn expect_cold(&self, until: Timestamp, now: Timestamp) {
-        if self.cold.until() < until {
-            self.cold.set_until(until, now);
+        if self.cold.cold_until() < until {
+            self.cold.set_cold_until(until, now);
         }
     }
 
@@ -179,42 +179,42 @@
         self.state.set(entry.state);
         // An old entry's time does not begin again with each list.
         if self.told_cold.replace(entry.cold_left) != entry.cold_left {
-            self.cold.set_until(now + entry.cold_left, now);
+            self.cold.set_cold_until(now + entry.cold_left, now);
             self.down_until.set(Timestamp::ZERO);
         }
     }
 
     /// Learns how a try ended.
     pub(crate) fn note_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
-        self.score.borrow_mut().note(outcome, now);
+        self.score.borrow_mut().record(outcome, now);
     }
 
     /// Learns that the target took no more: it refused a request or broke a connection.
     pub(crate) fn note_refusal(&self) {
         let mut limit = self.limit.get();
-        limit.note_refusal();
+        limit.record_refusal();
         self.limit.set(limit);
     }
 
     /// Learns that the target answered after `length` while this many requests were under way.
     pub(crate) fn note_room(&self, running: u32, length: Duration, goal: Duration, now: Timestamp) {
-        let unhurried = Duration::from_secs_f64(self.score.borrow().unhurried_ms() / 1_000.0);
+        let unhurried = Duration::from_secs_f64(self.score.borrow().baseline_ms() / 1_000.0);
         let mut limit = self.limit.get();
-        limit.note_answer(running, length, unhurried, goal, now);
+        limit.record_response(running, length, unhurried, goal, now);
         self.limit.set(limit);
     }
 
     /// Learns that a request has been under way for a whole latency target.
     pub(crate) fn note_overdue(&self, goal: Duration, now: Timestamp) {
         let mut limit = self.limit.get();
-        limit.note_overdue(goal, now);
+        limit.record_overdue(goal, now);
         self.limit.set(limit);
     }
 }
 
 impl RunningGuard {
     pub(crate) fn new(member: &Rc<TargetMember>, service: &Rc<WaitQueue>) -> Self {
-        member.score.borrow_mut().running += 1;
+        member.score.borrow_mut().in_flight += 1;
         Self(Rc::clone(member), Rc::clone(service))
     }
 }
@@ -223,7 +223,7 @@
     fn drop(&mut self) {
         {
             let mut score = self.0.score.borrow_mut();
-            score.running = score.running.saturating_sub(1);
+            score.in_flight = score.in_flight.saturating_sub(1);
         }
         self.0.turns.wake_one();
         self.1.wake_one();
@@ -252,16 +252,16 @@
     /// This VM's share of what a target bears while it is cold.
     fn cold_share(&self, vm: VmMark, entry: &TargetEntry) -> ColdQuota {
         let (Some(bounds), Some(rule)) = (self.bounds, self.cold_rule(&entry.service)) else {
-            return ColdQuota::Unbounded;
+            return ColdQuota::Unlimited;
         };
         let most = rule.rate * bounds.overage + bounds.slack;
-        let bound = ColdBounds { rate: rule.rate, most };
+        let bound = ColdBounds { rate: rule.rate, max_in_one_second: most };
         if self.is_divided(&entry.service) {
-            return ColdQuota::of_everyone(bound, self.fleet.vms.len());
+            return ColdQuota::equal_share(bound, self.fleet.vms.len());
         }
         match self.fleet.is_sender(vm, &entry.id, &entry.zone) {
-            true => ColdQuota::of_sender(bound),
-            false => ColdQuota::Nothing,
+            true => ColdQuota::for_sender(bound),
+            false => ColdQuota::Zero,
         }
     }
 }
@@ -297,7 +297,7 @@
             let member = self.member_of(entry, now);
             member.cold_rule.set(rules.cold_rule(&entry.service));
             member.divided.set(rules.is_divided(&entry.service));
-            member.cold.set_share(rules.cold_share(mark, entry), now);
+            member.cold.set_quota(rules.cold_share(mark, entry), now);
             member.sharers.set(sharers);
             if let (Some(rule), Some(returned)) =
                 (member.cold_rule.get(), rules.zones.returned(&entry.zone))
@@ -327,7 +327,7 @@
                 roster.unlisted_signs.insert(member.life(), Rc::clone(&member.signs));
             }
         }
-        roster.unlisted_signs.retain(|_, signs| signs.get().is_told(now));
+        roster.unlisted_signs.retain(|_, signs| signs.get().has_active_signal(now));
         if roster.unlisted_signs.len() > UNLISTED_MOST {
             roster.unlisted_signs.clear();
         }
@@ -353,7 +353,7 @@
     /// When the next target that is bounded while it is cold gets warm.
     pub(crate) fn next_warm(&self, now: Timestamp) -> Option<Timestamp> {
         let cold = self.by_id.values().filter(|member| member.cold_rule.get().is_some());
-        cold.map(|member| member.cold.until()).filter(|until| *until > now).min()
+        cold.map(|member| member.cold.cold_until()).filter(|until| *until > now).min()
     }
 
     /// Whether no target at all is known.
@@ -430,9 +430,9 @@
     fleet: &FleetTable,
     now: Timestamp,
 ) -> Vec<Rc<TargetMember>> {
-    let is_bounded = |member: &&Rc<TargetMember>| member.cold.is_bounded(now);
+    let is_bounded = |member: &&Rc<TargetMember>| member.cold.is_limited(now);
     let (cold, warm): (Vec<_>, Vec<_>) = members.iter().partition(is_bounded);
-    let warmed = cold.into_iter().filter(|member| member.cold.sends());
+    let warmed = cold.into_iter().filter(|member| member.cold.has_quota());
     let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|member| member.zone == zone);
     let near_part = match fleet.place_in_zone(vm) {
         Some((place, vms)) => even_members(near, place, vms, NEAR_MEMBERS),
--- a/crates/nickellead_gateway/src/worker/answers.rs
+++ b/crates/nickellead_gateway/src/worker/answers.rs
@@ -80,7 +80,7 @@
         kind: ErrorKind,
         planned: Option<&PlannedRequest>,
     ) -> Option<Duration> {
-        let usual = Duration::from_millis(u64::from(kind.answer().retry_after_ms?));
+        let usual = Duration::from_millis(u64::from(kind.response().retry_after_ms?));
         let Some(planned) = planned.filter(|_| self.policy.come_back_time.is_on()) else {
             return Some(usual);
         };
@@ -99,7 +99,7 @@
     /// Logs why a request failed, with the beliefs that decided it and their ages.
     fn log_failure(&self, id: &str, planned: Option<&PlannedRequest>, kind: ErrorKind) {
         let beliefs = self.beliefs.borrow();
-        let code = kind.answer().code;
+        let code = kind.response().code;
         let version = beliefs.version.unwrap_or_default();
         let Some(planned) = planned else {
             let pairs: [(&str, &dyn std::fmt::Display); 3] =
--- a/crates/nickellead_gateway/src/worker/choose.rs
+++ b/crates/nickellead_gateway/src/worker/choose.rs
@@ -51,7 +51,7 @@
             let mut turn = turns.join(planned.route.rule.priority);
             let woken = tokio::time::timeout(left, turn.wait()).await;
             if woken.is_err() {
-                turns.give_up(&turn);
+                turns.leave(&turn);
                 return Err(ErrorKind::Overloaded);
             }
         }
@@ -82,13 +82,13 @@
         if !member.has_turn(now) {
             return Err(ErrorKind::TargetLimited);
         }
-        if !self.reach.may_try(&member.zone, now) {
+        if !self.reach.may_attempt(&member.zone, now) {
             return Err(ErrorKind::TargetUnreachable);
         }
         if !member.has_room() {
             return Ok(RoomLook::Full(member));
         }
-        self.reach.note_try(&member.zone, now);
+        self.reach.record_attempt(&member.zone, now);
         Ok(RoomLook::Found(member))
     }
 
@@ -101,7 +101,7 @@
         ahead: usize,
     ) -> Option<Duration> {
         let limit = member.limit.get();
-        let answer = limit.answer_time(planned.route.rule.latency_target);
+        let answer = limit.mean_latency(planned.route.rule.latency_target);
         let whole = planned.in_time_until().saturating_duration_since(Instant::now());
         let left = whole.saturating_sub(answer);
         let comes = left >= limit.expected_wait(ahead, answer);
@@ -160,11 +160,11 @@
                 Some(key) => {
                     let range = beliefs.ranges.find(&part.service, key);
                     let owner = range.and_then(|range| beliefs.roster.find(range.owner.as_ref()?));
-                    owner.map(|owner| owner.signs.get().pause_left(now))
+                    owner.map(|owner| owner.signs.get().pause_remaining(now))
                 }
                 None => {
                     let members = beliefs.roster.members(&part.service).iter();
-                    members.map(|member| member.signs.get().pause_left(now)).min()
+                    members.map(|member| member.signs.get().pause_remaining(now)).min()
                 }
             };
         planned.route.rule.parts.iter().filter_map(part_pause).min().unwrap_or_default()
@@ -177,7 +177,7 @@
         let usable =
             |member: &&Rc<TargetMember>| !tried.contains(&member.id) && member.may_send(stay, now);
         let reached = |member: &&Rc<TargetMember>| {
-            let in_reach = !member.is_down(now) && self.reach.may_try(&member.zone, now);
+            let in_reach = !member.is_down(now) && self.reach.may_attempt(&member.zone, now);
             usable(member) && in_reach && !member.is_leaving()
         };
         let part = match self.policy.subsets.is_on() {
@@ -203,7 +203,7 @@
             .map(|(member, score)| Candidate {
                 score,
                 slots: member.slots,
-                near: member.zone == self.zone,
+                same_zone: member.zone == self.zone,
                 cold: member.cold.is_cold(now),
             })
             .collect();
@@ -264,7 +264,7 @@
         let owner = range.owner.as_ref().filter(|owner| !state.misdirected.contains(&owner.id))?;
         let member = beliefs.roster.find(owner)?;
         let now = BootClock.now();
-        let stays = member.signs.get().stays(self.leaving_stay, now);
+        let stays = member.signs.get().serves_owned_keys(self.leaving_stay, now);
         let asked = stays && !beliefs.zones.is_closed(&member.zone, now);
         asked.then(|| Rc::clone(member))
     }
--- a/crates/nickellead_gateway/src/worker/judge.rs
+++ b/crates/nickellead_gateway/src/worker/judge.rs
@@ -85,12 +85,12 @@
                 if *failure == ConnectFailure::Refused {
                     self.beliefs.borrow().roster.note_down(member, now);
                 }
-                member.note_outcome(TargetOutcome::Broken, now);
+                member.note_outcome(TargetOutcome::NoResponse, now);
             }
             TryResult::Lost(_) => {
                 self.keys.note_lost(&member.id);
                 member.note_refusal();
-                member.note_outcome(TargetOutcome::Broken, now);
+                member.note_outcome(TargetOutcome::NoResponse, now);
             }
         }
     }
@@ -114,7 +114,7 @@
         if signs.leaving {
             // Told on each answer, as the holder that was told before may be gone.
             self.keys.note_leaving(member.life());
-            if known.note_leaving(now) {
+            if known.observe_leaving(now) {
                 new = true;
                 log_event(EventName::TargetLeaving, &[("target", &member.id)]);
             }
@@ -122,7 +122,7 @@
         if let Some(pause) = signs.pause {
             self.keys.note_pause(&member.id, pause);
             let spread = 1.0 + self.rng.borrow_mut().f64() * PAUSE_SPREAD;
-            if known.note_pause(pause.mul_f64(spread), now) {
+            if known.observe_pause(pause.mul_f64(spread), now) {
                 new = true;
                 log_pause(member, pause);
             }
@@ -132,7 +132,7 @@
                 // Told on each answer, as the holder that was told before may be gone.
                 self.keys.note_limit(member.life(), limit);
             }
-            if known.note_limit(limit, sent, now) {
+            if known.observe_limit(limit, sent, now) {
                 new = true;
                 log_limit(member, limit);
             }
@@ -149,10 +149,10 @@
     fn learn_reach(&self, member: &TargetMember, result: &TryResult, now: Timestamp) {
         match result {
             TryResult::NotSent(ConnectFailure::Silent) => {
-                self.reach.note_silent(&member.zone, &member.id, now);
+                self.reach.record_connect_timeout(&member.zone, &member.id, now);
             }
             TryResult::Answered(_) | TryResult::Shed | TryResult::Misdirected => {
-                self.reach.note_answer(&member.zone);
+                self.reach.record_response(&member.zone);
             }
             TryResult::NotSent(_) | TryResult::Withheld | TryResult::Lost(_) => {}
         }
@@ -162,8 +162,8 @@
 /// Learns from an answer: how fast the target is, and that it may take more.
 fn note_answer(member: &TargetMember, length: Duration, goal: Duration, now: Timestamp) {
     // The try itself has ended and is counted no more.
-    let running = member.score.borrow().running + 1;
-    member.note_outcome(TargetOutcome::Answered(length), now);
+    let running = member.score.borrow().in_flight + 1;
+    member.note_outcome(TargetOutcome::Responded(length), now);
     member.note_room(running, length, goal, now);
 }
 
--- a/crates/nickellead_gateway/src/worker/tries.rs
+++ b/crates/nickellead_gateway/src/worker/tries.rs
@@ -143,7 +143,7 @@
     if let Some(answer) = state.answer {
         return Ok(answer);
     }
-    let refused = kind.answer().outcome == OutcomeClass::NotRun;
+    let refused = kind.response().outcome == OutcomeClass::NotRun;
     // "Not run" is said only when no target may have run it.
     Err(if refused && state.may_have_run { ErrorKind::AnswerLost } else { kind })
 }
--- a/crates/nickellead_limit/src/adaptive.rs
+++ b/crates/nickellead_limit/src/adaptive.rs
@@ -23,7 +23,7 @@
 const TIME_PART: f64 = 0.6;
 /// Answers may take this many times as long as unhurried ones, whatever the latency target: a slow
 /// target is not a full one.
-pub(crate) const HURRIED_FACTOR: f64 = 2.2;
+pub(crate) const MAX_LATENCY_PER_BASELINE: f64 = 2.2;
 
 /// A limit on requests under way that follows what the target takes.
 ///
@@ -59,19 +59,19 @@
 
     /// Average time of an answer, for requests with this latency target.
     #[must_use]
-    pub fn answer_time(&self, goal: Duration) -> Duration {
+    pub fn mean_latency(&self, goal: Duration) -> Duration {
         goal.mul_f64(self.time)
     }
 
     /// Whether one more request may be sent while `running` are under way.
     #[must_use]
-    pub fn has_room(&self, running: u32) -> bool {
+    pub fn has_capacity(&self, running: u32) -> bool {
         f64::from(running) + 1.0 <= self.limit + 1e-9
     }
 
     /// The target answered after `length` while `running` requests, this one included, were under
     /// way; `unhurried` is what its answers take when it has room, `goal` the latency target.
-    pub fn note_answer(
+    pub fn record_response(
         &mut self,
         running: u32,
         length: Duration,
@@ -81,24 +81,24 @@
     ) {
         let goal = goal.as_secs_f64().max(f64::EPSILON);
         let part = length.as_secs_f64() / goal;
-        let most = TIME_PART.max(HURRIED_FACTOR * unhurried.as_secs_f64() / goal);
+        let most = TIME_PART.max(MAX_LATENCY_PER_BASELINE * unhurried.as_secs_f64() / goal);
         let weight = if self.time == 0.0 { 1.0 } else { TIME_WEIGHT };
         self.time += (part - self.time) * weight;
         if self.time > most {
-            self.note_slow(length, now);
-        } else if !self.has_room(running) {
+            self.record_slow(length, now);
+        } else if !self.has_capacity(running) {
             let growth = if self.met { GROWTH / self.limit } else { START_GROWTH };
             self.limit = (self.limit + growth).min(self.most);
         }
     }
 
     /// A request has been under way for a whole latency target, and no answer has come.
-    pub fn note_overdue(&mut self, goal: Duration, now: Timestamp) {
+    pub fn record_overdue(&mut self, goal: Duration, now: Timestamp) {
         self.time = self.time.max(1.0);
-        self.note_slow(goal, now);
+        self.record_slow(goal, now);
     }
 
-    fn note_slow(&mut self, length: Duration, now: Timestamp) {
+    fn record_slow(&mut self, length: Duration, now: Timestamp) {
         self.met = true;
         if now >= self.settled {
             self.limit = (self.limit * SLOW_SHRINK).max(LEAST);
@@ -107,7 +107,7 @@
     }
 
     /// The target refused a request, or reset its connection.
-    pub fn note_refusal(&mut self) {
+    pub fn record_refusal(&mut self) {
         self.met = true;
         self.limit = (self.limit * REFUSAL_SHRINK).max(LEAST);
     }
--- a/crates/nickellead_limit/src/admission.rs
+++ b/crates/nickellead_limit/src/admission.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use crate::adaptive::HURRIED_FACTOR;
+use crate::adaptive::MAX_LATENCY_PER_BASELINE;
 
 /// Part of the latency target that answers may take on average before an owner counts as crowded.
 const TIME_PART: f64 = 0.5;
@@ -53,15 +53,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnerReport {
     /// Whole answers.
-    pub answered: u32,
+    pub responses: u32,
     /// Time of these answers together, each as a part of its request's latency target.
-    pub goal_parts: f64,
+    pub latency_ratio_sum: f64,
     /// Requests a second that callers made for the owner's keys, those that were refused included.
     pub demand: f64,
     /// Requests a second that the owner's slots do with unhurried answers; `None` while it is unknown.
-    pub unhurried_rate: Option<f64>,
+    pub baseline_rate: Option<f64>,
     /// An unhurried answer as a part of the latency target.
-    pub unhurried_part: f64,
+    pub baseline_latency_ratio: f64,
 }
 
 /// The rate at which one owner is sent requests by all VMs together.
@@ -87,8 +87,8 @@
     fn add(&mut self, report: &OwnerReport, period: Duration) {
         let add = |sum: &mut f64, new: f64| *sum = *sum * REPORTS_KEPT + new;
         add(&mut self.length, period.as_secs_f64());
-        add(&mut self.answered, f64::from(report.answered));
-        add(&mut self.goal_parts, report.goal_parts);
+        add(&mut self.answered, f64::from(report.responses));
+        add(&mut self.goal_parts, report.latency_ratio_sum);
     }
 
     /// Answers a second.
@@ -105,7 +105,7 @@
         if self.answered < ANSWERS_LEAST {
             return 1.0;
         }
-        let most = TIME_PART.max(HURRIED_FACTOR * unhurried_part);
+        let most = TIME_PART.max(MAX_LATENCY_PER_BASELINE * unhurried_part);
         let mean = self.goal_parts / self.answered;
         most / mean.max(f64::EPSILON)
     }
@@ -119,14 +119,14 @@
     }
 
     /// Takes in the report of a period.
-    pub fn note(&mut self, report: &OwnerReport, period: Duration) {
+    pub fn update(&mut self, report: &OwnerReport, period: Duration) {
         self.seen.add(report, period);
-        let room = self.seen.room_factor(report.unhurried_part);
+        let room = self.seen.room_factor(report.baseline_latency_ratio);
         if self.rate.is_none() && !self.is_full(report, room) {
             return;
         }
         self.note_capacity(report, room);
-        let floor = report.unhurried_rate.unwrap_or(0.0) * FLOOR_PART;
+        let floor = report.baseline_rate.unwrap_or(0.0) * FLOOR_PART;
         // The rate follows from what the owner does, not from the rate before: its answers tell of
         // requests that were sent a queue's length ago.
         let rate = self.capacity * room.clamp(SHRINK_MOST, GROWTH);
@@ -138,7 +138,7 @@
     fn is_full(&self, report: &OwnerReport, room: f64) -> bool {
         // An owner that answers nobody is out of reach, and no limit makes it answer.
         let answers = self.seen.answered >= 1.0;
-        let hopeless = report.unhurried_rate.is_some_and(|rate| report.demand > rate * HOPELESS);
+        let hopeless = report.baseline_rate.is_some_and(|rate| report.demand > rate * HOPELESS);
         let excess = (report.demand - self.seen.answer_rate()) * self.seen.length;
         let by_chance = DEVIATIONS_LEAST * (report.demand * self.seen.length).sqrt();
         answers && (hopeless || room < NO_ROOM || room < 1.0 && excess > by_chance)
@@ -152,7 +152,7 @@
         } else if room < 1.0 {
             self.capacity += (answered - self.capacity) * CAPACITY_WEIGHT;
         } else {
-            let low = report.unhurried_rate.unwrap_or(0.0) * RECOVERY_PART;
+            let low = report.baseline_rate.unwrap_or(0.0) * RECOVERY_PART;
             let growth = if self.capacity < low { CAPACITY_RECOVERY } else { CAPACITY_GROWTH };
             self.capacity = self.capacity.max(answered) * growth;
         }
--- a/crates/nickellead_limit/src/cold.rs
+++ b/crates/nickellead_limit/src/cold.rs
@@ -25,13 +25,13 @@
     /// Requests a second, on average.
     pub rate: f64,
     /// Most requests in any one second.
-    pub most: f64,
+    pub max_in_one_second: f64,
 }
 
 impl ColdBounds {
     /// Requests a second that VMs of one mind send.
     fn agreed_rate(&self) -> f64 {
-        self.rate.min(self.most * AGREED_PART)
+        self.rate.min(self.max_in_one_second * AGREED_PART)
     }
 }
 
@@ -44,50 +44,50 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ColdQuota {
     /// As much as a warm one.
-    Unbounded,
-    /// Nothing: other VMs warm it.
-    Nothing,
+    Unlimited,
+    /// Zero: other VMs warm it.
+    Zero,
     /// One request at once and this many a second.
     Sender(f64),
     /// This many a second, and a part of a request to begin with: every VM may have requests for the keys
     /// that the target owns.
-    Everyone(f64),
+    EqualShare(f64),
 }
 
 impl ColdQuota {
     /// The share of one of [`COLD_SENDERS`] VMs.
     #[must_use]
-    pub fn of_sender(bound: ColdBounds) -> Self {
+    pub fn for_sender(bound: ColdBounds) -> Self {
         let senders = COLD_SENDERS as f64;
         // Each of them may begin with a whole request.
-        let rate = bound.rate.min(bound.most * AGREED_PART - senders).max(0.0);
+        let rate = bound.rate.min(bound.max_in_one_second * AGREED_PART - senders).max(0.0);
         Self::Sender(rate / senders)
     }
 
     /// The share of one of this many VMs that ask an owner for its keys.
     #[must_use]
-    pub fn of_everyone(bound: ColdBounds, vms: usize) -> Self {
+    pub fn equal_share(bound: ColdBounds, vms: usize) -> Self {
         match vms {
-            0 => Self::Nothing,
-            _ => Self::Everyone(bound.agreed_rate() / vms as f64),
+            0 => Self::Zero,
+            _ => Self::EqualShare(bound.agreed_rate() / vms as f64),
         }
     }
 
     /// Requests a second.
     fn rate(self) -> f64 {
         match self {
-            Self::Unbounded => f64::INFINITY,
-            Self::Nothing => 0.0,
-            Self::Sender(rate) | Self::Everyone(rate) => rate,
+            Self::Unlimited => f64::INFINITY,
+            Self::Zero => 0.0,
+            Self::Sender(rate) | Self::EqualShare(rate) => rate,
         }
     }
 
     /// Requests to begin with.
     fn first(self, phase: f64) -> f64 {
         match self {
-            Self::Unbounded | Self::Sender(_) => 1.0,
-            Self::Nothing => 0.0,
-            Self::Everyone(_) => phase,
+            Self::Unlimited | Self::Sender(_) => 1.0,
+            Self::Zero => 0.0,
+            Self::EqualShare(_) => phase,
         }
     }
 }
@@ -95,8 +95,8 @@
 /// A bucket of requests for one target that refills while the target is cold.
 #[derive(Debug)]
 pub struct ColdLimiter {
-    until: Cell<Timestamp>,
-    share: Cell<ColdQuota>,
+    cold_until: Cell<Timestamp>,
+    quota: Cell<ColdQuota>,
     phase: f64,
     tokens: Cell<f64>,
     filled: Cell<Timestamp>,
@@ -110,8 +110,8 @@
     #[must_use]
     pub fn new(until: Timestamp, phase: f64, now: Timestamp) -> Self {
         Self {
-            until: Cell::new(until),
-            share: Cell::new(ColdQuota::Unbounded),
+            cold_until: Cell::new(until),
+            quota: Cell::new(ColdQuota::Unlimited),
             phase,
             tokens: Cell::new(0.0),
             filled: Cell::new(now),
@@ -120,53 +120,53 @@
 
     /// Until when the target is cold.
     #[must_use]
-    pub fn until(&self) -> Timestamp {
-        self.until.get()
+    pub fn cold_until(&self) -> Timestamp {
+        self.cold_until.get()
     }
 
     /// Whether the target is cold.
     #[must_use]
     pub fn is_cold(&self, now: Timestamp) -> bool {
-        now < self.until.get()
+        now < self.cold_until.get()
     }
 
     /// Whether the target is cold, and what it is sent meanwhile is bounded.
     #[must_use]
-    pub fn is_bounded(&self, now: Timestamp) -> bool {
-        self.is_cold(now) && self.share.get() != ColdQuota::Unbounded
+    pub fn is_limited(&self, now: Timestamp) -> bool {
+        self.is_cold(now) && self.quota.get() != ColdQuota::Unlimited
     }
 
     /// Whether this VM sends to the target at all while it is cold.
     #[must_use]
-    pub fn sends(&self) -> bool {
-        self.share.get() != ColdQuota::Nothing
+    pub fn has_quota(&self) -> bool {
+        self.quota.get() != ColdQuota::Zero
     }
 
     /// Notes until when the target is cold; one that was warm begins with a new bucket.
-    pub fn set_until(&self, until: Timestamp, now: Timestamp) {
+    pub fn set_cold_until(&self, until: Timestamp, now: Timestamp) {
         if !self.is_cold(now) {
             self.restart(now);
         }
-        self.until.set(until);
+        self.cold_until.set(until);
     }
 
     /// Notes this VM's share; another kind of share begins with a new bucket.
-    pub fn set_share(&self, share: ColdQuota, now: Timestamp) {
-        let known = self.share.replace(share);
-        if std::mem::discriminant(&known) != std::mem::discriminant(&share) {
+    pub fn set_quota(&self, quota: ColdQuota, now: Timestamp) {
+        let known = self.quota.replace(quota);
+        if std::mem::discriminant(&known) != std::mem::discriminant(&quota) {
             self.restart(now);
         }
     }
 
     fn restart(&self, now: Timestamp) {
-        self.tokens.set(self.share.get().first(self.phase));
+        self.tokens.set(self.quota.get().first(self.phase));
         self.filled.set(now);
     }
 
     /// Whether one more request may be sent now.
     #[must_use]
     pub fn may_send(&self, now: Timestamp) -> bool {
-        if !self.is_bounded(now) {
+        if !self.is_limited(now) {
             return true;
         }
         self.refill(now);
@@ -174,22 +174,22 @@
     }
 
     /// Counts a request that is sent.
-    pub fn note_sent(&self, now: Timestamp) {
-        if self.is_bounded(now) {
+    pub fn record_sent(&self, now: Timestamp) {
+        if self.is_limited(now) {
             self.tokens.set(self.tokens.get() - 1.0);
         }
     }
 
     /// Gives a request back that was counted and not sent.
-    pub fn give_back(&self, now: Timestamp) {
-        if self.is_bounded(now) {
+    pub fn refund(&self, now: Timestamp) {
+        if self.is_limited(now) {
             self.tokens.set(self.tokens.get() + 1.0);
         }
     }
 
     fn refill(&self, now: Timestamp) {
         let grown = now.since(self.filled.replace(now)).as_secs_f64();
-        let tokens = self.tokens.get() + grown * self.share.get().rate();
+        let tokens = self.tokens.get() + grown * self.quota.get().rate();
         self.tokens.set(tokens.min(1.0));
     }
 }
--- a/crates/nickellead_limit/src/queue.rs
+++ b/crates/nickellead_limit/src/queue.rs
@@ -55,7 +55,7 @@
     }
 
     /// Gives a place up; a turn that came meanwhile goes to the next one.
-    pub fn give_up(&self, turn: &QueueTicket) {
+    pub fn leave(&self, turn: &QueueTicket) {
         let waited = self.waiting.borrow_mut().turns.remove(&turn.place).is_some();
         if !waited {
             self.wake_one();
--- a/crates/nickellead_limit/src/rate.rs
+++ b/crates/nickellead_limit/src/rate.rs
@@ -104,7 +104,7 @@
 
     /// Notes how many requests a second the target takes from this many VMs together, or that it names no
     /// limit. With no VMs known nobody can tell this one's part, and nothing is sent.
-    pub fn set(&self, limit: Option<f64>, vms: usize, now: Timestamp) {
+    pub fn set_limit(&self, limit: Option<f64>, vms: usize, now: Timestamp) {
         self.vms.set(vms);
         let next = match (self.state.get(), limit) {
             (state, None) => state.without_limit(now),
@@ -119,7 +119,7 @@
 
     /// Whether the target's requests are bounded now.
     #[must_use]
-    pub fn is_bounded(&self, now: Timestamp) -> bool {
+    pub fn is_limited(&self, now: Timestamp) -> bool {
         self.rate(now).is_some()
     }
 
@@ -139,15 +139,15 @@
     }
 
     /// Counts a request that is sent.
-    pub fn note_sent(&self, now: Timestamp) {
-        if self.is_bounded(now) {
+    pub fn record_sent(&self, now: Timestamp) {
+        if self.is_limited(now) {
             self.tokens.set(self.tokens.get() - 1.0);
         }
     }
 
     /// Gives a request back that was counted and not sent.
-    pub fn give_back(&self, now: Timestamp) {
-        if self.is_bounded(now) {
+    pub fn refund(&self, now: Timestamp) {
+        if self.is_limited(now) {
             self.tokens.set(self.tokens.get() + 1.0);
         }
     }
--- a/crates/nickellead_limit/src/wait_tolerance.rs
+++ b/crates/nickellead_limit/src/wait_tolerance.rs
@@ -23,7 +23,7 @@
 impl WaitTolerance {
     /// Takes in how long a caller still waits; gives how long it has been trying, as far as that
     /// shows.
-    pub fn note(&self, left: Duration) -> Duration {
+    pub fn observe_remaining(&self, left: Duration) -> Duration {
         let longest = self.longest.get();
         let age = longest.saturating_sub(left);
         let known = if left > longest { left } else { longest - age.mul_f64(FOLLOW_PART) };
--- a/crates/nickellead_limit/tests/admission.rs
+++ b/crates/nickellead_limit/tests/admission.rs
@@ -89,8 +89,8 @@
     let mut asked_before = 0.0;
     for now in 0..seconds * 1_000 {
         for length in owner.ended(now) {
-            current.0.answered += 1;
-            current.0.goal_parts += length as f64 / GOAL_MS;
+            current.0.responses += 1;
+            current.0.latency_ratio_sum += length as f64 / GOAL_MS;
             let met = if length as f64 <= GOAL_MS { &mut played.in_time } else { &mut played.late };
             *met += 1;
         }
@@ -115,9 +115,9 @@
             asked_before = asked_before * 0.5 + f64::from(asked);
             report.demand = asked_before * 0.5 / PERIOD.as_secs_f64();
             // The faster answers take about half of the mean.
-            report.unhurried_rate = Some(SLOTS as f64 * 1_000.0 / (MEAN_MS * 0.5));
-            report.unhurried_part = MEAN_MS * 0.5 / GOAL_MS;
-            admission.note(&report, PERIOD);
+            report.baseline_rate = Some(SLOTS as f64 * 1_000.0 / (MEAN_MS * 0.5));
+            report.baseline_latency_ratio = MEAN_MS * 0.5 / GOAL_MS;
+            admission.update(&report, PERIOD);
             let next = admission.rate().map_or(1.0, |rate| {
                 allocate_rate(rate, &[(7, report.demand)])
                     .hot
@@ -177,16 +177,16 @@
 fn the_limit_ends_with_the_rush() {
     let mut admission = OwnerAdmission::default();
     let rush = OwnerReport {
-        answered: 6,
-        goal_parts: 9.0,
+        responses: 6,
+        latency_ratio_sum: 9.0,
         demand: 800.0,
-        unhurried_rate: Some(22.0),
-        unhurried_part: 0.18,
+        baseline_rate: Some(22.0),
+        baseline_latency_ratio: 0.18,
     };
-    admission.note(&rush, PERIOD);
+    admission.update(&rush, PERIOD);
     assert!(admission.rate().is_some_and(|rate| rate < 22.0));
-    let calm = OwnerReport { answered: 3, goal_parts: 1.2, demand: 6.0, ..rush };
-    (0..2).for_each(|_| admission.note(&calm, PERIOD));
+    let calm = OwnerReport { responses: 3, latency_ratio_sum: 1.2, demand: 6.0, ..rush };
+    (0..2).for_each(|_| admission.update(&calm, PERIOD));
     assert_eq!(admission.rate(), None);
 }
 
@@ -194,8 +194,8 @@
 #[test]
 fn an_owner_out_of_reach_gets_no_limit() {
     let mut admission = OwnerAdmission::default();
-    let cut = OwnerReport { demand: 9.0, unhurried_rate: Some(22.0), ..OwnerReport::default() };
-    (0..12).for_each(|_| admission.note(&cut, PERIOD));
+    let cut = OwnerReport { demand: 9.0, baseline_rate: Some(22.0), ..OwnerReport::default() };
+    (0..12).for_each(|_| admission.update(&cut, PERIOD));
     assert_eq!(admission.rate(), None);
 }
 
@@ -206,14 +206,14 @@
     let mut admission = OwnerAdmission::default();
     // Fifteen answers of 0.3 latency targets, and as many sheds, whose callers come back.
     let sheds = OwnerReport {
-        answered: 15,
-        goal_parts: 4.5,
+        responses: 15,
+        latency_ratio_sum: 4.5,
         demand: 45.0,
-        unhurried_rate: Some(36.0),
-        unhurried_part: 0.25,
+        baseline_rate: Some(36.0),
+        baseline_latency_ratio: 0.25,
     };
     for _ in 0..20 {
-        admission.note(&sheds, PERIOD);
+        admission.update(&sheds, PERIOD);
         assert_eq!(admission.rate(), None);
     }
 }
@@ -223,19 +223,19 @@
 fn a_limit_below_what_the_owner_can_do_grows_to_it_within_seconds() {
     let mut admission = OwnerAdmission::default();
     let full = OwnerReport {
-        answered: 4,
-        goal_parts: 8.0,
+        responses: 4,
+        latency_ratio_sum: 8.0,
         demand: 60.0,
-        unhurried_rate: Some(50.0),
-        unhurried_part: 0.2,
+        baseline_rate: Some(50.0),
+        baseline_latency_ratio: 0.2,
     };
-    admission.note(&full, PERIOD);
+    admission.update(&full, PERIOD);
     let low = admission.rate().unwrap();
     assert!(low < 10.0, "{low}");
     let periods = (1..20).find(|_| {
         let sent = admission.rate().unwrap() * PERIOD.as_secs_f64();
-        let idle = OwnerReport { answered: sent as u32, goal_parts: sent * 0.25, ..full };
-        admission.note(&idle, PERIOD);
+        let idle = OwnerReport { responses: sent as u32, latency_ratio_sum: sent * 0.25, ..full };
+        admission.update(&idle, PERIOD);
         admission.rate().is_none_or(|rate| rate > 25.0)
     });
     assert!(periods.is_some_and(|periods| periods <= 14), "{periods:?}");
--- a/crates/nickellead_limit/tests/cold.rs
+++ b/crates/nickellead_limit/tests/cold.rs
@@ -11,7 +11,7 @@
 /// Requests a second that one VM has for the target's service.
 const REQUESTS_A_VM: f64 = 13.0;
 const COLD_MS: u64 = 3_000;
-const BOUND: ColdBounds = ColdBounds { rate: 5.8, most: 5.8 * 1.5 + 8.0 };
+const BOUND: ColdBounds = ColdBounds { rate: 5.8, max_in_one_second: 5.8 * 1.5 + 8.0 };
 
 /// Times at which the VMs send, each with its gate, while the target is cold.
 fn play(gates: &[ColdLimiter], demand: f64, rng: &mut fastrand::Rng) -> Vec<u64> {
@@ -20,7 +20,7 @@
         for gate in gates {
             let asked = rng.f64() < demand / 1_000.0;
             if asked && gate.may_send(Timestamp(now)) {
-                gate.note_sent(Timestamp(now));
+                gate.record_sent(Timestamp(now));
                 sent.push(now);
             }
         }
@@ -37,7 +37,7 @@
 
 fn gate(share: ColdQuota, phase: f64) -> ColdLimiter {
     let gate = ColdLimiter::new(Timestamp(COLD_MS), phase, Timestamp(0));
-    gate.set_share(share, Timestamp(0));
+    gate.set_quota(share, Timestamp(0));
     gate
 }
 
@@ -46,8 +46,8 @@
     let share = |vm: usize| {
         let others = (0..ranks.len()).filter(|other| *other != vm && knows(vm, *other));
         match is_cold_sender(ranks[vm], others.map(|other| ranks[other])) {
-            true => ColdQuota::of_sender(BOUND),
-            false => ColdQuota::Nothing,
+            true => ColdQuota::for_sender(BOUND),
+            false => ColdQuota::Zero,
         }
     };
     (0..ranks.len()).map(|vm| gate(share(vm), 0.0)).collect()
@@ -73,7 +73,7 @@
         // Half of the VMs have not heard yet of those that have just started.
         let knows = |vm: usize, other: usize| vm.is_multiple_of(2) || other < VMS / 2;
         let sent = play(&gates_of(&ranks, knows), REQUESTS_A_VM, &mut rng);
-        assert!(most_in_a_second(&sent) as f64 <= BOUND.most, "seed {seed}: {sent:?}");
+        assert!(most_in_a_second(&sent) as f64 <= BOUND.max_in_one_second, "seed {seed}: {sent:?}");
     }
 }
 
@@ -83,10 +83,10 @@
     let mut all = 0;
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let share = ColdQuota::of_everyone(BOUND, VMS);
+        let share = ColdQuota::equal_share(BOUND, VMS);
         let gates: Vec<ColdLimiter> = (0..VMS).map(|_| gate(share, rng.f64())).collect();
         let sent = play(&gates, 240.0 / VMS as f64, &mut rng);
-        assert!(most_in_a_second(&sent) as f64 <= BOUND.most, "seed {seed}: {sent:?}");
+        assert!(most_in_a_second(&sent) as f64 <= BOUND.max_in_one_second, "seed {seed}: {sent:?}");
         all += sent.len() as u64;
     }
     let (borne, sent) = (BOUND.rate * COLD_MS as f64 / 1_000.0, all as f64 / SEEDS as f64);
@@ -95,30 +95,30 @@
 
 #[test]
 fn a_vm_that_knows_no_fleet_sends_a_cold_target_nothing() {
-    assert_eq!(ColdQuota::of_everyone(BOUND, 0), ColdQuota::Nothing);
-    let gate = gate(ColdQuota::Nothing, 1.0);
+    assert_eq!(ColdQuota::equal_share(BOUND, 0), ColdQuota::Zero);
+    let gate = gate(ColdQuota::Zero, 1.0);
     assert!(!gate.may_send(Timestamp(COLD_MS - 1)));
     assert!(gate.may_send(Timestamp(COLD_MS)), "a warm one takes what comes");
 }
 
 #[test]
 fn a_small_bound_leaves_room_for_the_first_requests() {
-    let tight = ColdBounds { rate: 5.8, most: 5.8 };
-    let ColdQuota::Sender(rate) = ColdQuota::of_sender(tight) else { panic!("a sender") };
+    let tight = ColdBounds { rate: 5.8, max_in_one_second: 5.8 };
+    let ColdQuota::Sender(rate) = ColdQuota::for_sender(tight) else { panic!("a sender") };
     let (senders, minds) = (2.0, 2.0);
-    assert!(minds * senders * (1.0 + rate) <= tight.most, "{rate}");
+    assert!(minds * senders * (1.0 + rate) <= tight.max_in_one_second, "{rate}");
 }
 
 #[test]
 fn a_target_that_turns_cold_again_begins_anew() {
-    let gate = gate(ColdQuota::of_sender(BOUND), 0.0);
-    gate.note_sent(Timestamp(0));
+    let gate = gate(ColdQuota::for_sender(BOUND), 0.0);
+    gate.record_sent(Timestamp(0));
     assert!(!gate.may_send(Timestamp(1)));
-    gate.set_until(Timestamp(9_000), Timestamp(6_000));
+    gate.set_cold_until(Timestamp(9_000), Timestamp(6_000));
     assert!(gate.may_send(Timestamp(6_000)));
-    gate.note_sent(Timestamp(6_000));
+    gate.record_sent(Timestamp(6_000));
     // A word that only puts the end off fills no bucket.
-    gate.set_until(Timestamp(9_500), Timestamp(6_001));
+    gate.set_cold_until(Timestamp(9_500), Timestamp(6_001));
     assert!(!gate.may_send(Timestamp(6_002)));
 }
 
@@ -126,9 +126,9 @@
 fn a_request_that_was_not_sent_after_all_leaves_its_place_to_the_next_one() {
     let now = Timestamp(1_000);
     let gate = ColdLimiter::new(Timestamp(10_000), 0.0, now);
-    gate.set_share(ColdQuota::Sender(0.1), now);
-    gate.note_sent(now);
+    gate.set_quota(ColdQuota::Sender(0.1), now);
+    gate.record_sent(now);
     assert!(!gate.may_send(now));
-    gate.give_back(now);
+    gate.refund(now);
     assert!(gate.may_send(now));
 }
--- a/crates/nickellead_limit/tests/rate.rs
+++ b/crates/nickellead_limit/tests/rate.rs
@@ -35,7 +35,7 @@
         // A hash of the caller chooses the VM, so some get twice as many as others.
         let weights: Vec<f64> = (0..self.vms).map(|_| 0.5 + random.f64()).collect();
         let whole: f64 = weights.iter().sum();
-        gates.iter().for_each(|gate| gate.set(Some(self.limit), self.vms, Timestamp(1)));
+        gates.iter().for_each(|gate| gate.set_limit(Some(self.limit), self.vms, Timestamp(1)));
         let mut sent = Vec::new();
         for now in (1..self.length_ms).step_by(STEP_MS as usize).filter(|now| *now > self.quiet_ms)
         {
@@ -44,7 +44,7 @@
                 let asked = chance.floor() as u32 + u32::from(random.f64() < chance.fract());
                 for _ in 0..asked {
                     if gate.may_send(Timestamp(now)) {
-                        gate.note_sent(Timestamp(now));
+                        gate.record_sent(Timestamp(now));
                         sent.push(now);
                     }
                 }
@@ -102,9 +102,9 @@
 #[test]
 fn a_vm_that_knows_no_fleet_sends_nothing() {
     let gate = RateLimiter::new(1);
-    gate.set(Some(100.0), 0, Timestamp(1));
+    gate.set_limit(Some(100.0), 0, Timestamp(1));
     assert!(!gate.may_send(Timestamp(10_000)));
-    gate.set(Some(100.0), 2, Timestamp(10_000));
+    gate.set_limit(Some(100.0), 2, Timestamp(10_000));
     assert!(gate.may_send(Timestamp(11_000)));
 }
 
@@ -115,9 +115,9 @@
         let mut sent = 0;
         for now in (1..4_000).step_by(10) {
             for gate in &gates {
-                gate.set(Some(6.8 + f64::from(now as u32 % 7) / 100.0), vms, Timestamp(now));
+                gate.set_limit(Some(6.8 + f64::from(now as u32 % 7) / 100.0), vms, Timestamp(now));
                 if gate.may_send(Timestamp(now)) {
-                    gate.note_sent(Timestamp(now));
+                    gate.record_sent(Timestamp(now));
                     sent += 1;
                 }
             }
@@ -129,13 +129,13 @@
 #[test]
 fn vms_come_back_by_and_by_once_the_need_is_over() {
     let gate = RateLimiter::new(1);
-    gate.set(Some(4.0), 1, Timestamp(1));
+    gate.set_limit(Some(4.0), 1, Timestamp(1));
     let send_all = |from: u64, to: u64| {
         let mut sent = 0;
         for now in from..to {
-            gate.set(None, 1, Timestamp(now));
+            gate.set_limit(None, 1, Timestamp(now));
             if gate.may_send(Timestamp(now)) {
-                gate.note_sent(Timestamp(now));
+                gate.record_sent(Timestamp(now));
                 sent += 1;
             }
         }
@@ -150,11 +150,11 @@
 #[test]
 fn a_request_that_was_not_sent_is_given_back() {
     let gate = RateLimiter::new(1);
-    gate.set(Some(1.0), 1, Timestamp(1));
+    gate.set_limit(Some(1.0), 1, Timestamp(1));
     let now = Timestamp(1_500);
     assert!(gate.may_send(now));
-    gate.note_sent(now);
+    gate.record_sent(now);
     assert!(!gate.may_send(now));
-    gate.give_back(now);
+    gate.refund(now);
     assert!(gate.may_send(now));
 }
--- a/crates/nickellead_proxy/src/answer.rs
+++ b/crates/nickellead_proxy/src/answer.rs
@@ -9,7 +9,7 @@
 /// The answer that the table gives for an error kind, sent at once.
 #[must_use]
 pub fn error_response(kind: ErrorKind) -> Response<BoxBody> {
-    let answer = kind.answer();
+    let answer = kind.response();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut builder = Response::build(status);
     builder
--- a/crates/nickellead_proxy/src/metrics.rs
+++ b/crates/nickellead_proxy/src/metrics.rs
@@ -34,7 +34,7 @@
 impl ProxyMetrics {
     /// Counts an answer of the router itself.
     pub fn count_error(&self, kind: ErrorKind) {
-        let label = KindLabel { kind: kind.answer().code };
+        let label = KindLabel { kind: kind.response().code };
         self.errors.get_or_create(&label).inc();
     }
 
--- a/crates/nickellead_proxy/src/worker.rs
+++ b/crates/nickellead_proxy/src/worker.rs
@@ -175,7 +175,7 @@
         };
         let move_deadline = deadline.or_after(self.limits.move_wait);
         let state = CallState { call, head: request.head(), body, deadline, move_deadline };
-        self.budget.borrow_mut().note_request();
+        self.budget.borrow_mut().record_request();
         self.try_until_done(&state).await
     }
 
@@ -203,7 +203,7 @@
         choice: &OwnerChoice,
     ) -> Result<TargetAnswer, ErrorKind> {
         let gate = self.gate(&choice.target);
-        let permit = match gate.try_enter() {
+        let permit = match gate.try_acquire() {
             Some(permit) => permit,
             None => self.wait_for_turn(state, choice, &gate).await?,
         };
@@ -224,7 +224,7 @@
         choice: &OwnerChoice,
         gate: &ConcurrencyLimiter,
     ) -> Result<ConcurrencyPermit, ErrorKind> {
-        let entering = timeout(state.deadline.left(), gate.enter(state.call.urgency)).await;
+        let entering = timeout(state.deadline.left(), gate.acquire(state.call.urgency)).await;
         let permit = entering.unwrap_or(Err(ErrorKind::DeadlineTooShort))?;
         // The owner may have changed while this request waited for its turn.
         match self.owner_now(&state.call)? {
@@ -239,16 +239,16 @@
         if attempt >= ATTEMPTS_MAX || state.deadline.is_over() {
             return false;
         }
-        match (kind.answer().outcome, kind) {
+        match (kind.response().outcome, kind) {
             // Ownership changed: the new owner is not loaded by this try.
             (_, ErrorKind::TargetRefused) => !state.move_deadline.is_over(),
             (OutcomeClass::NotRun, ErrorKind::TargetBusy | ErrorKind::TargetUnreachable) => {
-                attempt < 3 && self.budget.borrow_mut().take()
+                attempt < 3 && self.budget.borrow_mut().try_take()
             }
             (OutcomeClass::NotRun, _) => false,
             (OutcomeClass::Unknown, _) => {
                 let repeatable = state.call.repeat == RepeatRule::Repeatable;
-                repeatable && attempt < 3 && self.budget.borrow_mut().take()
+                repeatable && attempt < 3 && self.budget.borrow_mut().try_take()
             }
         }
     }
@@ -289,10 +289,10 @@
         let table = self.table.borrow();
         let decision = call.decide(&table)?;
         match decision.owner {
-            OwnerRoute::Nobody => Err(ErrorKind::OwnerUnknown),
+            OwnerRoute::Unowned => Err(ErrorKind::OwnerUnknown),
             OwnerRoute::Moving => Ok(None),
-            OwnerRoute::Target { place, epoch } => {
-                let target = table.target(place).ok_or(ErrorKind::Internal)?.clone();
+            OwnerRoute::Target { index, epoch } => {
+                let target = table.target(index).ok_or(ErrorKind::Internal)?.clone();
                 Ok(Some(OwnerChoice { shard: decision.shard, epoch, target }))
             }
         }
--- a/crates/nickellead_report/src/explain.rs
+++ b/crates/nickellead_report/src/explain.rs
@@ -81,15 +81,16 @@
 /// Tells what a failure means, what happened around it, and what caused it.
 fn explain_failure(story: &mut RequestStory, failed: &LogLine, lines: &[LogLine]) {
     let code = failed.field("error").unwrap_or_default();
-    let Some(kind) = ErrorKind::ALL.iter().copied().find(|kind| kind.answer().code == code) else {
+    let Some(kind) = ErrorKind::ALL.iter().copied().find(|kind| kind.response().code == code)
+    else {
         story.missing.push(format!("the error {code:?} is not in this version's table"));
         return;
     };
-    let outcome = match kind.answer().outcome {
+    let outcome = match kind.response().outcome {
         OutcomeClass::NotRun => "it did not run",
         OutcomeClass::Unknown => "it may have run",
     };
-    story.cause.push(format!("{code}: {} ({outcome})", kind.answer().help));
+    story.cause.push(format!("{code}: {} ({outcome})", kind.response().help));
     let near: Vec<&LogLine> = lines
         .iter()
         .filter(|line| (failed.at - BEFORE_S..=failed.at + AFTER_S).contains(&line.at))
--- a/crates/nickellead_route/src/concurrency.rs
+++ b/crates/nickellead_route/src/concurrency.rs
@@ -29,7 +29,7 @@
 
     /// Takes a turn, if one is free.
     #[must_use]
-    pub fn try_enter(&self) -> Option<ConcurrencyPermit> {
+    pub fn try_acquire(&self) -> Option<ConcurrencyPermit> {
         self.turns.clone().try_acquire_owned().ok().map(ConcurrencyPermit)
     }
 
@@ -40,8 +40,8 @@
     ///
     /// # Errors
     /// [`ErrorKind::QueueFull`] at once when too many wait already.
-    pub async fn enter(&self, urgency: UrgencyClass) -> Result<ConcurrencyPermit, ErrorKind> {
-        if let Some(permit) = self.try_enter() {
+    pub async fn acquire(&self, urgency: UrgencyClass) -> Result<ConcurrencyPermit, ErrorKind> {
+        if let Some(permit) = self.try_acquire() {
             return Ok(permit);
         }
         let queue = match urgency {
--- a/crates/nickellead_route/src/retry.rs
+++ b/crates/nickellead_route/src/retry.rs
@@ -5,11 +5,11 @@
 /// A bucket that requests fill and retries drain.
 ///
 /// Each request adds a tenth of a token, each retry takes a whole one, so that
-/// retries add at most a tenth to the load however many targets fail.
+/// retries add at capacity a tenth to the load however many targets fail.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tenths: u32,
-    most: u32,
+    capacity: u32,
 }
 
 impl Default for RetryBudget {
@@ -25,17 +25,17 @@
     /// A full bucket that holds `tokens` retries.
     #[must_use]
     pub const fn new(tokens: u32) -> Self {
-        let most = tokens * Self::COST;
-        Self { tenths: most, most }
+        let capacity = tokens * Self::COST;
+        Self { tenths: capacity, capacity }
     }
 
     /// Notes a first try.
-    pub fn note_request(&mut self) {
-        self.tenths = (self.tenths + 1).min(self.most);
+    pub fn record_request(&mut self) {
+        self.tenths = (self.tenths + 1).min(self.capacity);
     }
 
     /// Takes a token for a retry, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let Some(rest) = self.tenths.checked_sub(Self::COST) else {
             return false;
         };
--- a/crates/nickellead_route/src/table.rs
+++ b/crates/nickellead_route/src/table.rs
@@ -30,13 +30,13 @@
 pub enum OwnerRoute {
     /// No target owns it.
     #[default]
-    Nobody,
+    Unowned,
     /// A new owner is on its way.
     Moving,
     /// This target owns it.
     Target {
         /// Place in [`RoutingTable::target`].
-        place: u32,
+        index: u32,
         /// The epoch that requests must carry.
         epoch: Epoch,
     },
@@ -80,9 +80,9 @@
 pub struct RoutingTable {
     services: HashMap<ServiceKey, ServiceRoute>,
     targets: Vec<Rc<TargetRoute>>,
-    places: HashMap<TargetKey, u32>,
+    target_indices: HashMap<TargetKey, u32>,
     /// Owners that named a target before its declaration arrived.
-    early: HashMap<(ServiceKey, ShardIndex), ShardOwner>,
+    pending_owners: HashMap<(ServiceKey, ShardIndex), ShardOwner>,
     revision: Version,
 }
 
@@ -102,8 +102,8 @@
 
     /// The target at a place that an [`OwnerRoute`] names.
     #[must_use]
-    pub fn target(&self, place: u32) -> Option<&Rc<TargetRoute>> {
-        self.targets.get(place as usize)
+    pub fn target(&self, index: u32) -> Option<&Rc<TargetRoute>> {
+        self.targets.get(index as usize)
     }
 
     /// The revision of the declarations in force here.
@@ -128,13 +128,13 @@
                 slots: target.spec.slots,
                 connections: target.spec.connections,
             };
-            self.place_target(route);
+            self.upsert_target(route);
         }
         self.services.retain(|_, known| config.service(&known.name).is_some());
         for service in &config.services {
-            self.place_service(service);
+            self.upsert_service(service);
         }
-        let early = std::mem::take(&mut self.early);
+        let early = std::mem::take(&mut self.pending_owners);
         for ((service, shard), owner) in early {
             self.apply_change(RouteChange { service, shard, owner });
         }
@@ -144,11 +144,11 @@
     /// Takes over one shard's owner.
     pub fn apply_change(&mut self, change: RouteChange) {
         let owner = match change.owner {
-            ShardOwner::Nobody => Some(OwnerRoute::Nobody),
+            ShardOwner::Nobody => Some(OwnerRoute::Unowned),
             ShardOwner::Moving => Some(OwnerRoute::Moving),
             ShardOwner::Target { target, epoch } => {
-                let place = self.places.get(&target).copied();
-                place.map(|place| OwnerRoute::Target { place, epoch })
+                let index = self.target_indices.get(&target).copied();
+                index.map(|index| OwnerRoute::Target { index, epoch })
             }
         };
         let service = self.services.get_mut(&change.service);
@@ -157,32 +157,32 @@
             (Some(cell), Some(owner)) => *cell = owner,
             (Some(cell), None) => {
                 *cell = OwnerRoute::Moving;
-                self.early.insert((change.service, change.shard), change.owner);
+                self.pending_owners.insert((change.service, change.shard), change.owner);
             }
             (None, _) => {
-                self.early.insert((change.service, change.shard), change.owner);
+                self.pending_owners.insert((change.service, change.shard), change.owner);
             }
         }
     }
 
-    fn place_target(&mut self, route: TargetRoute) {
-        match self.places.get(&route.key) {
-            Some(place) => self.targets[*place as usize] = Rc::new(route),
+    fn upsert_target(&mut self, route: TargetRoute) {
+        match self.target_indices.get(&route.key) {
+            Some(index) => self.targets[*index as usize] = Rc::new(route),
             None => {
-                self.places.insert(route.key, self.targets.len() as u32);
+                self.target_indices.insert(route.key, self.targets.len() as u32);
                 self.targets.push(Rc::new(route));
             }
         }
     }
 
-    fn place_service(&mut self, declared: &DeclaredService) {
+    fn upsert_service(&mut self, declared: &DeclaredService) {
         let count = declared.spec.shard_count();
         let fresh = || ServiceRoute {
             name: declared.name.clone(),
             version: declared.version,
             spec: declared.spec.clone(),
             count,
-            owners: vec![OwnerRoute::Nobody; count.get() as usize],
+            owners: vec![OwnerRoute::Unowned; count.get() as usize],
         };
         let key = ServiceKey::from(&declared.name);
         let service = self.services.entry(key).or_insert_with(fresh);
--- a/crates/nickellead_route/src/zone_table.rs
+++ b/crates/nickellead_route/src/zone_table.rs
@@ -24,7 +24,7 @@
     /// Shards whose new owner is on its way.
     pub moving: u32,
     /// Shards that nobody owns.
-    pub nobody: u32,
+    pub unowned: u32,
 }
 
 /// A zone's owners, counted.
@@ -79,7 +79,7 @@
 
     /// What a VM that knows `known` is missing; `None` when it is up to date.
     #[must_use]
-    pub fn delta(&self, known: Option<(Term, Version)>) -> Option<ZoneDelta> {
+    pub fn delta_since(&self, known: Option<(Term, Version)>) -> Option<ZoneDelta> {
         let current = self.known()?;
         if known.is_some_and(|known| known >= current) {
             return None;
@@ -103,7 +103,7 @@
             let counts = summary.services.entry(*service).or_default();
             for owner in owners.values() {
                 match owner {
-                    ShardOwner::Nobody => counts.nobody += 1,
+                    ShardOwner::Nobody => counts.unowned += 1,
                     ShardOwner::Moving => counts.moving += 1,
                     ShardOwner::Target { target, .. } => {
                         counts.served += 1;
--- a/crates/nickellead_route/tests/tables.rs
+++ b/crates/nickellead_route/tests/tables.rs
@@ -43,11 +43,11 @@
     let mut table = ZoneTable::new(ZONE);
     table.apply(&delta(2, None, vec![change(0, 1), change(1, 1)]));
     table.apply(&delta(2, Some(10), vec![change(0, 2)]));
-    let missed = table.delta(Some((Term(2), Version(10)))).unwrap();
+    let missed = table.delta_since(Some((Term(2), Version(10)))).unwrap();
     assert_eq!((missed.base, missed.changes), (Some(Version(10)), vec![change(0, 2)]));
-    let whole = table.delta(Some((Term(1), Version(900)))).unwrap();
+    let whole = table.delta_since(Some((Term(1), Version(900)))).unwrap();
     assert_eq!((whole.base, whole.changes), (None, vec![change(0, 2), change(1, 1)]));
-    assert_eq!(table.delta(table.known()), None);
+    assert_eq!(table.delta_since(table.known()), None);
 }
 
 #[test]
@@ -55,14 +55,14 @@
     let mut budget = RetryBudget::new(0);
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.note_request();
-        retries += u32::from(budget.take());
+        budget.record_request();
+        retries += u32::from(budget.try_take());
     }
     assert_eq!(retries, 0, "a bucket of no size gives nothing");
     let mut budget = RetryBudget::new(10);
     for _ in 0..1_000 {
-        budget.note_request();
-        retries += u32::from(budget.take());
+        budget.record_request();
+        retries += u32::from(budget.try_take());
     }
     assert!(retries <= 110, "{retries} retries for 1,000 requests");
 }
--- a/crates/nickellead_run/src/object_status.rs
+++ b/crates/nickellead_run/src/object_status.rs
@@ -47,7 +47,7 @@
             "version": version,
             "served": counts.served,
             "moving": counts.moving,
-            "nobody": counts.nobody,
+            "nobody": counts.unowned,
         })
     }
 
--- a/crates/nickellead_run/src/peers/hub.rs
+++ b/crates/nickellead_run/src/peers/hub.rs
@@ -226,7 +226,7 @@
             let mut zones = request.zones.iter();
             zones.find(|known| known.zone == zone).map(|known| (known.term, known.version))
         };
-        let deltas = zones.iter().filter_map(|(zone, table)| table.delta(known(*zone)));
+        let deltas = zones.iter().filter_map(|(zone, table)| table.delta_since(known(*zone)));
         let coordinator = self.coordinators.borrow().get(&self.own.zone).cloned();
         FollowReply {
             from: self.own.clone(),
@@ -300,7 +300,7 @@
         let config = self.config.borrow().newest().cloned();
         let config_in = config.is_none_or(|config| offer(WorkerUpdate::Config(config)));
         let zones = self.zones.borrow();
-        let mut deltas = zones.values().filter_map(|table| table.delta(None));
+        let mut deltas = zones.values().filter_map(|table| table.delta_since(None));
         config_in && deltas.all(|delta| offer(WorkerUpdate::Routes(delta.changes.into())))
     }
 }
