--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::{Name, ServiceKey, ShardIndex, TargetKey, Timestamp, Version};
 
-use super::mandate_keeper::CALL_LIMIT;
+use super::mandate_lease::CALL_LIMIT;
 use super::{CallId, PlacementCall, ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandateEvent, MandatePhase, ShardEvent, ShardPhase};
 use crate::object::{PlacementObject, ReadAnswer};
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -6,7 +6,7 @@
 
 mod event;
 mod loading;
-mod mandate_keeper;
+mod mandate_lease;
 mod moves;
 mod records;
 mod succession;
@@ -30,7 +30,7 @@
 use crate::session::TargetSession;
 use crate::shard::ServicePlacement;
 use crate::view::{ZoneDelta, ZoneLog};
-use mandate_keeper::MandateWatch;
+use mandate_lease::MandateWatch;
 use records::RecordRound;
 
 /// Ended lives of VMs that are remembered.
