--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -6,8 +6,8 @@
 
 use nickellead_core::{Incarnation, Name, TargetKey, Timestamp, Version};
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, PlacementObject, ReadAnswer, StandbyVm,
-    TargetOrder, WriteAnswer, ZoneAction, ZoneCoordinator, ZoneEvent,
+    CoordinatorSettings, GrantGuard, LeaseTimes, PlacementObject, ReadOutcome, TargetOrder,
+    VmIncarnation, WriteOutcome, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 
 use crate::routes::config;
@@ -33,7 +33,7 @@
 
 impl ZoneDriver {
     pub fn new(shards: u32, targets: u32) -> Self {
-        let vm = StandbyVm { vm: Name::new("vm-0").unwrap(), incarnation: Incarnation(1) };
+        let vm = VmIncarnation { vm: Name::new("vm-0").unwrap(), incarnation: Incarnation(1) };
         let settings = CoordinatorSettings {
             zone: Name::new("zone-a").unwrap(),
             vm,
@@ -92,15 +92,17 @@
     fn act(&mut self, action: ZoneAction) -> Option<ZoneEvent> {
         match action {
             ZoneAction::SendOrder(order) => Some(self.send(&order)),
-            ZoneAction::ReadMandate(call) => Some(ZoneEvent::MandateRead(call, ReadAnswer::Absent)),
+            ZoneAction::ReadMandate(call) => {
+                Some(ZoneEvent::MandateRead(call, ReadOutcome::Absent))
+            }
             ZoneAction::WriteMandate(call, _, _) => {
                 self.version = self.version.next();
-                Some(ZoneEvent::MandateWritten(call, WriteAnswer::Done(self.version)))
+                Some(ZoneEvent::MandateWritten(call, WriteOutcome::Done(self.version)))
             }
             ZoneAction::ReadPlacement(call, service, name) => {
                 let answer = match self.placements.get(&name) {
-                    Some((object, version)) => ReadAnswer::Found(object.clone(), *version),
-                    None => ReadAnswer::Absent,
+                    Some((object, version)) => ReadOutcome::Found(object.clone(), *version),
+                    None => ReadOutcome::Absent,
                 };
                 Some(ZoneEvent::PlacementRead(call, service, answer))
             }
@@ -110,7 +112,7 @@
                 self.writes += 1;
                 self.version = self.version.next();
                 self.placements.insert(name, (object, self.version));
-                let answer = WriteAnswer::Done(self.version);
+                let answer = WriteOutcome::Done(self.version);
                 Some(ZoneEvent::PlacementWritten(call, service, answer))
             }
             _ => None,
--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -8,8 +8,8 @@
     Epoch, Incarnation, Name, Sequence, ServiceKey, ShardIndex, TargetKey, Term, Version,
 };
 
-use crate::mandate::{MandateObject, StandbyVm};
-use crate::object::{PlacementObject, ReadAnswer, WriteAnswer};
+use crate::mandate::{MandateObject, VmIncarnation};
+use crate::object::{PlacementObject, ReadOutcome, WriteOutcome};
 use crate::order::{TargetOrder, TargetReply};
 use crate::times::LeaseTimes;
 
@@ -23,7 +23,7 @@
     /// The VM's availability zone.
     pub zone: Name,
     /// The VM and this life of its process.
-    pub vm: StandbyVm,
+    pub vm: VmIncarnation,
     /// The times that leases live by.
     pub times: LeaseTimes,
     /// Most standbys that the mandate names.
@@ -60,7 +60,7 @@
 
 /// A standby's answer to a [`RecordBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct RecordAnswer {
+pub struct RecordResponse {
     /// Name of the standby.
     pub vm: Name,
     /// The life of its process.
@@ -81,13 +81,13 @@
     /// The declarations changed, or were read for the first time.
     ConfigChanged(Arc<DeclaredConfig>),
     /// Answer to a read of the mandate.
-    MandateRead(CallId, ReadAnswer<MandateObject>),
+    MandateRead(CallId, ReadOutcome<MandateObject>),
     /// Answer to a write of the mandate.
-    MandateWritten(CallId, WriteAnswer),
+    MandateWritten(CallId, WriteOutcome),
     /// Answer to a read of a placement.
-    PlacementRead(CallId, ServiceKey, ReadAnswer<PlacementObject>),
+    PlacementRead(CallId, ServiceKey, ReadOutcome<PlacementObject>),
     /// Answer to a write of a placement.
-    PlacementWritten(CallId, ServiceKey, WriteAnswer),
+    PlacementWritten(CallId, ServiceKey, WriteOutcome),
     /// The platform's list of live and leaving VMs.
     VmsListed(Vec<Name>),
     /// A target answered.
@@ -95,7 +95,7 @@
     /// A target did not answer an order.
     TargetFailed(TargetKey, Sequence),
     /// A VM of this zone was heard.
-    PeerSeen(StandbyVm),
+    PeerSeen(VmIncarnation),
     /// The zone's coordinator was heard, and whether it names this VM as a standby.
     CoordinatorHeard(Term, bool),
     /// The coordinator that was followed says that it coordinates no more, or its stream broke.
@@ -103,7 +103,7 @@
     /// A detached coordinator asks this VM to keep new owners.
     RecordAsked(RecordBatch),
     /// A standby answered a batch.
-    RecordAnswered(RecordAnswer),
+    RecordAnswered(RecordResponse),
     /// A VM with this term asks this one to coordinate no more.
     StepDownAsked(Term),
     /// The former coordinator has stepped down.
@@ -126,11 +126,11 @@
     /// Send an order to a target.
     SendOrder(TargetOrder),
     /// Ask a standby to keep new owners.
-    AskRecord(StandbyVm, RecordBatch),
+    AskRecord(VmIncarnation, RecordBatch),
     /// Answer the coordinator that asked to keep new owners.
-    AnswerRecord(RecordAnswer),
+    AnswerRecord(RecordResponse),
     /// Ask the former coordinator to step down.
-    AskStepDown(StandbyVm, Term),
+    AskStepDown(VmIncarnation, Term),
     /// Tell the asking VM that this one coordinates no more.
     AnswerStepDown(Term),
     /// Log a notice.
--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -7,7 +7,7 @@
 use super::mandate_lease::CALL_LIMIT;
 use super::{CallId, PlacementCall, ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandateEvent, MandatePhase, ShardEvent, ShardPhase};
-use crate::object::{PlacementObject, ReadAnswer};
+use crate::object::{PlacementObject, ReadOutcome};
 use crate::session::TargetSession;
 use crate::shard::{LoadState, PendingWrite, ServicePlacement};
 use nickellead_core::enforced;
@@ -85,7 +85,7 @@
         &mut self,
         call: CallId,
         service: ServiceKey,
-        answer: ReadAnswer<PlacementObject>,
+        answer: ReadOutcome<PlacementObject>,
         now: Timestamp,
     ) {
         if self.calls.get(&service).is_none_or(|known| known.id != call) {
@@ -93,15 +93,15 @@
         }
         self.calls.remove(&service);
         match answer {
-            ReadAnswer::Failed => self.pause_calls(service, now),
-            ReadAnswer::Absent => {
+            ReadOutcome::Failed => self.pause_calls(service, now),
+            ReadOutcome::Absent => {
                 self.take_placement(service, &PlacementObject::default(), Version::ZERO)
             }
-            ReadAnswer::Found(object, version) if object.term > self.term => {
+            ReadOutcome::Found(object, version) if object.term > self.term => {
                 debug_assert!(version > Version::ZERO);
                 self.see_term(object.term);
             }
-            ReadAnswer::Found(object, version) => self.take_placement(service, &object, version),
+            ReadOutcome::Found(object, version) => self.take_placement(service, &object, version),
         }
     }
 
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -6,8 +6,8 @@
 
 use super::{CallId, Predecessor, ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandateEvent, MandatePhase, charts};
-use crate::mandate::{MandateObject, StandbyVm};
-use crate::object::{ReadAnswer, WriteAnswer};
+use crate::mandate::{MandateObject, VmIncarnation};
+use crate::object::{ReadOutcome, WriteOutcome};
 use crate::shard::{LoadState, ServicePlacement};
 use nickellead_core::enforced;
 
@@ -90,7 +90,7 @@
 
 impl ZoneCoordinator {
     /// Standbys that must keep a record: of the mandate as it stands and as it may stand.
-    pub(super) fn standbys(&self) -> Vec<StandbyVm> {
+    pub(super) fn standbys(&self) -> Vec<VmIncarnation> {
         let known = self.watch.object.iter().chain(&self.watch.unsure);
         let mut standbys: Vec<_> = known.flat_map(|object| object.standbys.clone()).collect();
         standbys.sort();
@@ -123,19 +123,19 @@
     pub(super) fn note_mandate_read(
         &mut self,
         call: CallId,
-        answer: ReadAnswer<MandateObject>,
+        answer: ReadOutcome<MandateObject>,
         now: Timestamp,
     ) {
         if self.watch.call.take_if(|known| *known == call).is_none() {
             return;
         }
         match answer {
-            ReadAnswer::Failed => {}
+            ReadOutcome::Failed => {}
             // A stale read: an object once seen is never deleted.
-            ReadAnswer::Absent if self.watch.version > Version::ZERO => {}
-            ReadAnswer::Absent => self.after_mandate_read(now),
-            ReadAnswer::Found(_, version) if is_older(version, self.watch.version) => {}
-            ReadAnswer::Found(object, version) => {
+            ReadOutcome::Absent if self.watch.version > Version::ZERO => {}
+            ReadOutcome::Absent => self.after_mandate_read(now),
+            ReadOutcome::Found(_, version) if is_older(version, self.watch.version) => {}
+            ReadOutcome::Found(object, version) => {
                 let term = object.term;
                 let mine = object.holder == self.settings.vm;
                 self.watch.see(version, Some(object), now);
@@ -150,16 +150,16 @@
     pub(super) fn note_mandate_written(
         &mut self,
         call: CallId,
-        answer: WriteAnswer,
+        answer: WriteOutcome,
         now: Timestamp,
     ) {
         if self.watch.call.take_if(|known| *known == call).is_none() {
             return;
         }
         match answer {
-            WriteAnswer::Done(version) => self.mandate_done(version, now),
+            WriteOutcome::Done(version) => self.mandate_done(version, now),
             // The read that follows tells whose write it was.
-            WriteAnswer::Conflict | WriteAnswer::Failed => self.watch.next_due = now,
+            WriteOutcome::Conflict | WriteOutcome::Failed => self.watch.next_due = now,
         }
     }
 
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -21,12 +21,12 @@
 };
 
 pub use event::{
-    CallId, CoordinatorSettings, RecordAnswer, RecordBatch, ShardRecordEntry, TargetStatus,
+    CallId, CoordinatorSettings, RecordBatch, RecordResponse, ShardRecordEntry, TargetStatus,
     ZoneAction, ZoneEvent, ZoneNotice,
 };
 
 use crate::charts::{MandateEvent, MandatePhase, charts};
-use crate::mandate::StandbyVm;
+use crate::mandate::VmIncarnation;
 use crate::session::TargetSession;
 use crate::shard::ServicePlacement;
 use crate::view::{ZoneDelta, ZoneLog};
@@ -44,7 +44,7 @@
     /// Whether this VM has every record the predecessor may have made.
     records_known: bool,
     /// Who it was, to be asked to step down.
-    holder: Option<StandbyVm>,
+    holder: Option<VmIncarnation>,
     /// When it was last asked.
     asked_at: Timestamp,
 }
@@ -76,9 +76,9 @@
     placements: BTreeMap<ServiceKey, ServicePlacement>,
     calls: BTreeMap<ServiceKey, PlacementCall>,
     last_call: CallId,
-    peers: BTreeMap<Name, (StandbyVm, Timestamp)>,
+    peers: BTreeMap<Name, (VmIncarnation, Timestamp)>,
     /// Lives of VMs that were followed by another; a late word of theirs counts no more.
-    ended_lives: VecDeque<StandbyVm>,
+    ended_lives: VecDeque<VmIncarnation>,
     listed: Option<BTreeSet<Name>>,
     last_heard: Timestamp,
     /// Whether the coordinator last heard named this VM as its standby; a VM that has
@@ -185,7 +185,7 @@
 
     /// The coordinator before this one, as far as it is known.
     #[must_use]
-    pub fn former_holder(&self) -> Option<StandbyVm> {
+    pub fn former_holder(&self) -> Option<VmIncarnation> {
         self.predecessor.holder.clone()
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Notes that a VM was heard; a life that another one followed is over for good.
-    fn note_peer(&mut self, vm: StandbyVm, now: Timestamp) {
+    fn note_peer(&mut self, vm: VmIncarnation, now: Timestamp) {
         if self.ended_lives.contains(&vm) {
             return;
         }
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -8,7 +8,7 @@
 
 use super::{CallId, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandatePhase, SessionPhase, ShardEvent, ShardPhase};
-use crate::object::WriteAnswer;
+use crate::object::WriteOutcome;
 use crate::order::ShardGrant;
 use crate::session::TargetSession;
 use crate::shard::{LoadState, PendingWrite};
@@ -181,7 +181,7 @@
         &mut self,
         call: CallId,
         service: ServiceKey,
-        answer: WriteAnswer,
+        answer: WriteOutcome,
         now: Timestamp,
     ) {
         let Some(known) = self.calls.get(&service).copied().filter(|known| known.id == call) else {
@@ -192,7 +192,7 @@
             return;
         };
         match answer {
-            WriteAnswer::Done(version) => {
+            WriteOutcome::Done(version) => {
                 placement.version = version;
                 let claims = placement.load == LoadState::Claiming;
                 if claims {
@@ -208,13 +208,13 @@
                     self.free_lost_shards(service, now);
                 }
             }
-            WriteAnswer::Conflict if placement.load == LoadState::Claiming => {
+            WriteOutcome::Conflict if placement.load == LoadState::Claiming => {
                 // The predecessor wrote once more before this term stood: start from that.
                 placement.load = LoadState::Unread;
                 placement.pending = None;
             }
-            WriteAnswer::Conflict => placement.reread = true,
-            WriteAnswer::Failed => self.pause_calls(service, now),
+            WriteOutcome::Conflict => placement.reread = true,
+            WriteOutcome::Failed => self.pause_calls(service, now),
         }
     }
 
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -10,9 +10,9 @@
 
 use nickellead_core::{ServiceKey, Timestamp};
 
-use super::{RecordAnswer, RecordBatch, ShardRecordEntry, ZoneAction, ZoneCoordinator};
+use super::{RecordBatch, RecordResponse, ShardRecordEntry, ZoneAction, ZoneCoordinator};
 use crate::charts::MandatePhase;
-use crate::mandate::StandbyVm;
+use crate::mandate::VmIncarnation;
 use nickellead_core::enforced;
 
 /// Between two tries to reach a standby that did not answer.
@@ -23,7 +23,7 @@
 pub(super) struct RecordRound {
     batch: RecordBatch,
     services: Vec<ServiceKey>,
-    missing: BTreeSet<StandbyVm>,
+    missing: BTreeSet<VmIncarnation>,
     next_ask: Timestamp,
 }
 
@@ -37,7 +37,7 @@
         if self.round.is_none() {
             self.begin_round(now);
         }
-        let gone: Vec<StandbyVm> = match &self.round {
+        let gone: Vec<VmIncarnation> = match &self.round {
             Some(round) => round.missing.iter().filter(|vm| self.is_gone(vm)).cloned().collect(),
             None => return,
         };
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn note_record_answer(&mut self, answer: &RecordAnswer, now: Timestamp) {
+    pub(super) fn note_record_answer(&mut self, answer: &RecordResponse, now: Timestamp) {
         if self.coordinates() && answer.term > self.term {
             self.see_term(answer.term);
         }
@@ -103,7 +103,7 @@
         if answer.number != round.batch.number || answer.term > round.batch.term || !answer.kept {
             return;
         }
-        let vm = StandbyVm { vm: answer.vm.clone(), incarnation: answer.incarnation };
+        let vm = VmIncarnation { vm: answer.vm.clone(), incarnation: answer.incarnation };
         round.missing.remove(&vm);
         let _ = now;
     }
@@ -123,7 +123,7 @@
                 }
             }
         }
-        let answer = RecordAnswer {
+        let answer = RecordResponse {
             vm: self.settings.vm.vm.clone(),
             incarnation: self.settings.vm.incarnation,
             term: self.highest_term.max(batch.term),
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -5,7 +5,7 @@
 use nickellead_core::{Name, Timestamp};
 
 use super::{Predecessor, ZoneCoordinator};
-use crate::mandate::StandbyVm;
+use crate::mandate::VmIncarnation;
 
 /// How long a VM stays eligible as a standby after it was last heard.
 const PEER_FRESH: Duration = Duration::from_millis(1_500);
@@ -51,21 +51,21 @@
 
     /// Keeps the standbys that are heard, fills up with others that are, and
     /// only then with those not heard: a silent standby may still take over.
-    pub(super) fn choose_standbys(&self, now: Timestamp) -> Vec<StandbyVm> {
-        let fresh = |vm: &StandbyVm| {
+    pub(super) fn choose_standbys(&self, now: Timestamp) -> Vec<VmIncarnation> {
+        let fresh = |vm: &VmIncarnation| {
             let heard = self.peers.get(&vm.vm);
             heard.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_FRESH)
         };
-        let eligible = |vm: &&StandbyVm| {
+        let eligible = |vm: &&VmIncarnation| {
             **vm != self.settings.vm && self.is_listed(&vm.vm) && !self.is_gone(vm)
         };
         let current = self.watch.object.iter().flat_map(|object| &object.standbys);
-        let current: Vec<&StandbyVm> = current.filter(eligible).collect();
+        let current: Vec<&VmIncarnation> = current.filter(eligible).collect();
         let heard = self.peers.values().map(|(vm, _)| vm);
         let heard = heard.filter(eligible).filter(|vm| fresh(vm));
         let first = current.iter().copied().filter(|vm| fresh(vm)).chain(heard);
         let last = current.iter().copied().filter(|vm| !fresh(vm));
-        let mut chosen: Vec<StandbyVm> = Vec::new();
+        let mut chosen: Vec<VmIncarnation> = Vec::new();
         for vm in first.chain(last) {
             if chosen.len() < self.settings.standbys && !chosen.contains(vm) {
                 chosen.push(vm.clone());
@@ -83,7 +83,7 @@
     /// Coordinators and standbys were listed before the mandate named them, so
     /// that absence from the lagging list means gone, not "not there yet". A VM
     /// heard under another incarnation has started anew.
-    pub(super) fn is_gone(&self, vm: &StandbyVm) -> bool {
+    pub(super) fn is_gone(&self, vm: &VmIncarnation) -> bool {
         let unlisted = self.listed.as_ref().is_some_and(|listed| !listed.contains(&vm.vm));
         let heard = self.peers.get(&vm.vm);
         let restarted = heard.is_some_and(|(known, _)| known.incarnation != vm.incarnation);
--- a/crates/nickellead_lease/src/lib.rs
+++ b/crates/nickellead_lease/src/lib.rs
@@ -25,12 +25,12 @@
     charts,
 };
 pub use coordinator::{
-    CallId, CoordinatorSettings, RecordAnswer, RecordBatch, ShardRecordEntry, TargetStatus,
+    CallId, CoordinatorSettings, RecordBatch, RecordResponse, ShardRecordEntry, TargetStatus,
     ZoneAction, ZoneCoordinator, ZoneEvent, ZoneNotice,
 };
 pub use guard::{GrantGuard, RequestTicket, RunRefusal};
-pub use mandate::{MandateObject, StandbyVm};
-pub use object::{PlacementObject, PlacementOwner, ReadAnswer, WriteAnswer};
+pub use mandate::{MandateObject, VmIncarnation};
+pub use object::{PlacementObject, PlacementOwner, ReadOutcome, WriteOutcome};
 pub use order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
 pub use times::LeaseTimes;
 pub use view::{RouteChange, ShardOwner, ZoneDelta, ZoneLog};
--- a/crates/nickellead_lease/src/mandate.rs
+++ b/crates/nickellead_lease/src/mandate.rs
@@ -5,7 +5,7 @@
 
 /// A VM that may take the mandate when the coordinator is gone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct StandbyVm {
+pub struct VmIncarnation {
     /// Name of the VM.
     pub vm: Name,
     /// The life of its process; another life has lost the records.
@@ -19,9 +19,9 @@
     /// Grows with each new coordinator.
     pub term: Term,
     /// The coordinator.
-    pub holder: StandbyVm,
+    pub holder: VmIncarnation,
     /// Who may take over while the holder's state is unknown.
-    pub standbys: Vec<StandbyVm>,
+    pub standbys: Vec<VmIncarnation>,
     /// Grows with each renewal.
     pub renewal: u64,
     /// Whether the holder has given it up and sends no more orders.
--- a/crates/nickellead_lease/src/object.rs
+++ b/crates/nickellead_lease/src/object.rs
@@ -30,7 +30,7 @@
 
 /// What a read of an object gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadAnswer<T> {
+pub enum ReadOutcome<T> {
     /// The object and its version.
     Found(T, Version),
     /// There is no such object.
@@ -41,7 +41,7 @@
 
 /// What a conditional write gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteAnswer {
+pub enum WriteOutcome {
     /// Written, with this version.
     Done(Version),
     /// The object had another version than expected.
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -14,8 +14,8 @@
 };
 use nickellead_lease::{
     CoordinatorSettings, GrantGuard, LeaseTimes, MandateObject, MandatePhase, OrderOutcome,
-    ReadAnswer, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, StandbyVm,
-    TargetOrder, ZoneAction, ZoneCoordinator, ZoneEvent,
+    ReadOutcome, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, TargetOrder,
+    VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 use world::{World, name};
 
@@ -236,7 +236,7 @@
 
 impl LoneVm {
     fn new() -> Self {
-        let vm = StandbyVm { vm: name("vm-0"), incarnation: Incarnation(1) };
+        let vm = VmIncarnation { vm: name("vm-0"), incarnation: Incarnation(1) };
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm,
@@ -271,7 +271,7 @@
             _ => None,
         });
         if let Some(call) = read {
-            let answer = ReadAnswer::Found(foreign_mandate(renewal), Version(version));
+            let answer = ReadOutcome::Found(foreign_mandate(renewal), Version(version));
             self.give(ZoneEvent::MandateRead(call, answer));
         }
     }
@@ -281,8 +281,8 @@
 fn foreign_mandate(renewal: u64) -> MandateObject {
     MandateObject {
         term: Term(4),
-        holder: StandbyVm { vm: name("vm-9"), incarnation: Incarnation(9) },
-        standbys: vec![StandbyVm { vm: name("vm-0"), incarnation: Incarnation(1) }],
+        holder: VmIncarnation { vm: name("vm-9"), incarnation: Incarnation(9) },
+        standbys: vec![VmIncarnation { vm: name("vm-0"), incarnation: Incarnation(1) }],
         renewal,
         stopped: false,
     }
--- a/crates/nickellead_lease/tests/world/carry.rs
+++ b/crates/nickellead_lease/tests/world/carry.rs
@@ -1,7 +1,7 @@
 //! How the world carries messages: VMs meet, actions become messages, messages arrive.
 
 use nickellead_core::{Incarnation, TargetKey};
-use nickellead_lease::{StandbyVm, TargetOrder, ZoneAction, ZoneEvent};
+use nickellead_lease::{TargetOrder, VmIncarnation, ZoneAction, ZoneEvent};
 
 use super::{LATENCY, MESSAGES_MAX, Message, Payload, VmNode, World};
 
@@ -28,7 +28,8 @@
 
     fn hear(&mut self, vm: usize, other: usize) {
         let node = &self.vms[other];
-        let seen = StandbyVm { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
+        let seen =
+            VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         let leads = node.coordinator.publishes();
         let term = node.coordinator.term();
         // VMs ask coordinators; they ask each other only while they know none.
@@ -126,13 +127,14 @@
         }
         let node = &mut self.vms[vm];
         let actions = node.coordinator.handle(event, node.clock.read(self.now));
-        let from = StandbyVm { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
+        let from =
+            VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         for action in actions {
             self.act(vm, &from, action);
         }
     }
 
-    fn act(&mut self, vm: usize, from: &StandbyVm, action: ZoneAction) {
+    fn act(&mut self, vm: usize, from: &VmIncarnation, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
                 let target = self.target_of(order.target);
@@ -172,7 +174,7 @@
         self.targets.iter().position(|target| TargetKey::from(&target.name) == key).unwrap()
     }
 
-    fn vm_of(&self, vm: &StandbyVm) -> Option<usize> {
+    fn vm_of(&self, vm: &VmIncarnation) -> Option<usize> {
         let same =
             |node: &VmNode| node.name == vm.vm && Incarnation(node.incarnation) == vm.incarnation;
         self.vms.iter().position(same)
--- a/crates/nickellead_lease/tests/world/fake_platform.rs
+++ b/crates/nickellead_lease/tests/world/fake_platform.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::{Name, Version};
 use nickellead_lease::{
-    MandateObject, PlacementObject, ReadAnswer, WriteAnswer, ZoneAction, ZoneEvent,
+    MandateObject, PlacementObject, ReadOutcome, WriteOutcome, ZoneAction, ZoneEvent,
 };
 
 /// Objects with versions, and ways to fail.
@@ -60,24 +60,24 @@
         works: bool,
         current: Option<Version>,
         expected: Version,
-    ) -> (WriteAnswer, Option<Version>) {
+    ) -> (WriteOutcome, Option<Version>) {
         if !works {
-            return (WriteAnswer::Failed, None);
+            return (WriteOutcome::Failed, None);
         }
         if current.unwrap_or_default() != expected {
-            return (WriteAnswer::Conflict, None);
+            return (WriteOutcome::Conflict, None);
         }
         self.version = self.version.next();
         let answer =
-            if self.lose_answers { WriteAnswer::Failed } else { WriteAnswer::Done(self.version) };
+            if self.lose_answers { WriteOutcome::Failed } else { WriteOutcome::Done(self.version) };
         (answer, Some(self.version))
     }
 }
 
-fn read<T: Clone>(works: bool, object: Option<&(T, Version)>) -> ReadAnswer<T> {
+fn read<T: Clone>(works: bool, object: Option<&(T, Version)>) -> ReadOutcome<T> {
     match object {
-        _ if !works => ReadAnswer::Failed,
-        Some((object, version)) => ReadAnswer::Found(object.clone(), *version),
-        None => ReadAnswer::Absent,
+        _ if !works => ReadOutcome::Failed,
+        Some((object, version)) => ReadOutcome::Found(object.clone(), *version),
+        None => ReadOutcome::Absent,
     }
 }
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/world/mod.rs
@@ -17,8 +17,8 @@
 use nickellead_api::{DeclaredConfig, TargetState};
 use nickellead_core::{Incarnation, ShardIndex, TargetKey};
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, MandatePhase, StandbyVm, TargetOrder, TargetReply,
-    ZoneAction, ZoneCoordinator, ZoneEvent,
+    CoordinatorSettings, GrantGuard, LeaseTimes, MandatePhase, TargetOrder, TargetReply,
+    VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 
 use fake_platform::FakePlatform;
@@ -100,8 +100,10 @@
     fn make_vm(&mut self, number: usize) -> VmNode {
         self.lives += 1;
         let clock = drift_clock(number as u64 * 3 + 1);
-        let vm =
-            StandbyVm { vm: name(&format!("vm-{number}")), incarnation: Incarnation(self.lives) };
+        let vm = VmIncarnation {
+            vm: name(&format!("vm-{number}")),
+            incarnation: Incarnation(self.lives),
+        };
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm: vm.clone(),
--- a/crates/nickellead_peer/src/message.rs
+++ b/crates/nickellead_peer/src/message.rs
@@ -4,7 +4,7 @@
 
 use bincode::{Decode, Encode};
 use nickellead_core::{Incarnation, Name, Term, Version, ZoneKey};
-use nickellead_lease::{RecordAnswer, RecordBatch, ZoneDelta};
+use nickellead_lease::{RecordBatch, RecordResponse, ZoneDelta};
 
 use crate::config_history::ConfigNews;
 use crate::content::DeclaredState;
@@ -83,7 +83,7 @@
     /// Answer to [`PeerRequest::Follow`].
     Follow(Box<FollowReply>),
     /// Answer to [`PeerRequest::Record`].
-    Record(RecordAnswer),
+    Record(RecordResponse),
     /// Answer to [`PeerRequest::StepDown`]: the highest term known.
     SteppedDown(Term),
     /// The VM is stopping or too busy.
--- a/crates/nickellead_platform/src/client.rs
+++ b/crates/nickellead_platform/src/client.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use nickellead_api::{ObjectKind, ResourceObject};
 use nickellead_core::{Name, Version};
-use nickellead_lease::{ReadAnswer, WriteAnswer};
+use nickellead_lease::{ReadOutcome, WriteOutcome};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -74,14 +74,14 @@
     }
 
     /// Reads one object's spec.
-    pub async fn read<T: DeserializeOwned>(&self, kind: ObjectKind, name: &Name) -> ReadAnswer<T> {
+    pub async fn read<T: DeserializeOwned>(&self, kind: ObjectKind, name: &Name) -> ReadOutcome<T> {
         match self.get(kind, name).await {
             Ok(object) => match serde_json::from_value(object.spec) {
-                Ok(spec) => ReadAnswer::Found(spec, object.version),
-                Err(_) => ReadAnswer::Failed,
+                Ok(spec) => ReadOutcome::Found(spec, object.version),
+                Err(_) => ReadOutcome::Failed,
             },
-            Err(PlatformError::NotFound) => ReadAnswer::Absent,
-            Err(_) => ReadAnswer::Failed,
+            Err(PlatformError::NotFound) => ReadOutcome::Absent,
+            Err(_) => ReadOutcome::Failed,
         }
     }
 
@@ -92,11 +92,11 @@
         name: &Name,
         expected: Version,
         spec: &T,
-    ) -> WriteAnswer {
+    ) -> WriteOutcome {
         match self.put(kind, name, expected, spec).await {
-            Ok(version) => WriteAnswer::Done(version),
-            Err(PlatformError::Conflict(_)) => WriteAnswer::Conflict,
-            Err(_) => WriteAnswer::Failed,
+            Ok(version) => WriteOutcome::Done(version),
+            Err(PlatformError::Conflict(_)) => WriteOutcome::Conflict,
+            Err(_) => WriteOutcome::Failed,
         }
     }
 
--- a/crates/nickellead_platform/tests/answers.rs
+++ b/crates/nickellead_platform/tests/answers.rs
@@ -6,7 +6,7 @@
 
 use nickellead_api::ObjectKind;
 use nickellead_core::{Name, Version};
-use nickellead_lease::{MandateObject, ReadAnswer, WriteAnswer};
+use nickellead_lease::{MandateObject, ReadOutcome, WriteOutcome};
 use nickellead_platform::{CallCounter, PlatformClient, PlatformError};
 
 /// A platform that reads a request and says what the test wants.
@@ -28,7 +28,7 @@
     address
 }
 
-type Answers = (ReadAnswer<MandateObject>, WriteAnswer, Result<(), PlatformError>);
+type Answers = (ReadOutcome<MandateObject>, WriteOutcome, Result<(), PlatformError>);
 
 fn ask(address: SocketAddr) -> Answers {
     actix_rt::Runtime::new().unwrap().block_on(async move {
@@ -53,8 +53,8 @@
     for (answer, keep_open) in cases {
         let shown = String::from_utf8_lossy(answer);
         let (read, write, list) = ask(raw_platform(answer, keep_open));
-        assert_eq!(read, ReadAnswer::Failed, "{shown}");
-        assert_eq!(write, WriteAnswer::Failed, "{shown}");
+        assert_eq!(read, ReadOutcome::Failed, "{shown}");
+        assert_eq!(write, WriteOutcome::Failed, "{shown}");
         assert!(list.is_err(), "{shown}");
     }
 }
@@ -63,5 +63,5 @@
 fn a_platform_out_of_reach_is_a_failure_not_an_absence() {
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (read, write, _) = ask(nobody);
-    assert_eq!((read, write), (ReadAnswer::Failed, WriteAnswer::Failed));
+    assert_eq!((read, write), (ReadOutcome::Failed, WriteOutcome::Failed));
 }
--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::{Name, Term, Version};
 use nickellead_lease::{
-    CoordinatorSettings, MandatePhase, RecordAnswer, RecordBatch, StandbyVm, TargetStatus,
+    CoordinatorSettings, MandatePhase, RecordBatch, RecordResponse, TargetStatus, VmIncarnation,
     ZoneAction, ZoneCoordinator, ZoneDelta, ZoneEvent, ZoneNotice,
 };
 use nickellead_time::BootClock;
@@ -22,7 +22,7 @@
     /// An event for the state machine.
     Event(ZoneEvent),
     /// A detached coordinator's batch, to be answered.
-    Record(RecordBatch, oneshot::Sender<RecordAnswer>),
+    Record(RecordBatch, oneshot::Sender<RecordResponse>),
     /// A successor's wish, to be answered with the highest term known.
     StepDown(Term, oneshot::Sender<Term>),
     /// An operator's question.
@@ -53,7 +53,7 @@
     /// What was last told to the peers' thread.
     published: Option<(Term, Version)>,
     led: Option<bool>,
-    standbys: Vec<StandbyVm>,
+    standbys: Vec<VmIncarnation>,
     mode: Option<FollowMode>,
 }
 
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use nickellead_core::Incarnation;
-use nickellead_lease::{CoordinatorSettings, LeaseCharts, StandbyVm, ZoneEvent};
+use nickellead_lease::{CoordinatorSettings, LeaseCharts, VmIncarnation, ZoneEvent};
 use nickellead_peer::PeerVm;
 use nickellead_platform::CallCounter;
 use nickellead_proxy::{ProxyMetrics, ServeState, bind_listener};
@@ -252,7 +252,7 @@
 fn coordinator_settings(settings: &NodeSettings, incarnation: Incarnation) -> CoordinatorSettings {
     CoordinatorSettings {
         zone: settings.zone.clone(),
-        vm: StandbyVm { vm: settings.vm.clone(), incarnation },
+        vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
         times: settings.lease.to_times(),
         standbys: STANDBYS,
         moves: MOVES,
--- a/crates/nickellead_run/src/peers/answer.rs
+++ b/crates/nickellead_run/src/peers/answer.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use nickellead_lease::{StandbyVm, ZoneEvent};
+use nickellead_lease::{VmIncarnation, ZoneEvent};
 use nickellead_peer::{FollowRequest, PeerHandler, PeerReply, PeerRequest};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -40,7 +40,8 @@
 
 async fn answer_follow(hub: &PeerHub, request: &FollowRequest) -> PeerReply {
     if request.from.zone == hub.own.zone {
-        let vm = StandbyVm { vm: request.from.vm.clone(), incarnation: request.from.incarnation };
+        let vm =
+            VmIncarnation { vm: request.from.vm.clone(), incarnation: request.from.incarnation };
         offer(hub.coordination(), CoordinationMessage::Event(ZoneEvent::PeerSeen(vm)));
     }
     let mut changes = hub.subscribe();
--- a/crates/nickellead_run/src/peers/hub.rs
+++ b/crates/nickellead_run/src/peers/hub.rs
@@ -8,7 +8,7 @@
 
 use nickellead_api::DeclaredConfig;
 use nickellead_core::{Name, Term, ZoneKey};
-use nickellead_lease::{RouteChange, StandbyVm, ZoneDelta, ZoneEvent};
+use nickellead_lease::{RouteChange, VmIncarnation, ZoneDelta, ZoneEvent};
 use nickellead_peer::{
     ConfigHistory, ConfigNews, ConfigNewsError, FollowReply, FollowRequest, KnownZone, PeerVm,
 };
@@ -43,7 +43,7 @@
     coordinators: RefCell<BTreeMap<Name, (Term, PeerVm)>>,
     config: RefCell<ConfigHistory>,
     leads: Cell<bool>,
-    standbys: RefCell<Vec<StandbyVm>>,
+    standbys: RefCell<Vec<VmIncarnation>>,
     changes: watch::Sender<u64>,
     started: Instant,
     /// Workers whose ring was full: they get everything anew.
@@ -94,12 +94,12 @@
         self.notify();
     }
 
-    pub(super) fn set_standbys(&self, standbys: Vec<StandbyVm>) {
+    pub(super) fn set_standbys(&self, standbys: Vec<VmIncarnation>) {
         *self.standbys.borrow_mut() = standbys;
     }
 
     fn is_standby(&self, vm: &PeerVm) -> bool {
-        let standby = StandbyVm { vm: vm.vm.clone(), incarnation: vm.incarnation };
+        let standby = VmIncarnation { vm: vm.vm.clone(), incarnation: vm.incarnation };
         self.leads.get() && self.standbys.borrow().contains(&standby)
     }
 
--- a/crates/nickellead_run/src/peers/mod.rs
+++ b/crates/nickellead_run/src/peers/mod.rs
@@ -13,7 +13,7 @@
 
 use nickellead_api::DeclaredConfig;
 use nickellead_core::{Term, ZoneKey};
-use nickellead_lease::{RecordBatch, StandbyVm, ZoneDelta, ZoneEvent};
+use nickellead_lease::{RecordBatch, VmIncarnation, ZoneDelta, ZoneEvent};
 use nickellead_peer::{PEER_PATH, PeerClient, PeerReply, PeerRequest, PeerVm, serve_peers};
 use nickellead_platform::ListedVm;
 use nickellead_route::ZoneSummary;
@@ -37,7 +37,7 @@
     /// Whether this VM coordinates its zone, and in which term.
     Lead(Term, bool),
     /// The standbys that the mandate names.
-    Standbys(Vec<StandbyVm>),
+    Standbys(Vec<VmIncarnation>),
     /// New declarations from the platform.
     Config(Arc<DeclaredConfig>),
     /// The platform's list of VMs.
@@ -45,9 +45,9 @@
     /// An operator asks for the owners in every zone.
     Summarize(oneshot::Sender<BTreeMap<ZoneKey, ZoneSummary>>),
     /// Ask a standby to keep new owners.
-    AskRecord(StandbyVm, RecordBatch),
+    AskRecord(VmIncarnation, RecordBatch),
     /// Ask the former coordinator to step down.
-    AskStepDown(StandbyVm, Term),
+    AskStepDown(VmIncarnation, Term),
 }
 
 /// Rings from peers to the other duties.
@@ -114,7 +114,7 @@
 }
 
 /// Asks one VM something and hands the answer to the coordination.
-fn ask(hub: &Rc<PeerHub>, vm: &StandbyVm, request: PeerRequest) {
+fn ask(hub: &Rc<PeerHub>, vm: &VmIncarnation, request: PeerRequest) {
     let Some(address) = hub.address_of(&vm.vm) else {
         return;
     };
