--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -126,7 +126,7 @@
         match guard.filter(|_| self.lost != Some(order.target)) {
             Some(guard) => {
                 self.replies += 1;
-                ZoneEvent::TargetAnswered(guard.apply(order, self.now))
+                ZoneEvent::TargetReplied(guard.apply(order, self.now))
             }
             None => ZoneEvent::TargetFailed(order.target, order.sequence),
         }
--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -91,25 +91,25 @@
     /// The platform's list of live and leaving VMs.
     VmsListed(Vec<Name>),
     /// A target answered.
-    TargetAnswered(TargetReply),
+    TargetReplied(TargetReply),
     /// A target did not answer an order.
     TargetFailed(TargetKey, Sequence),
     /// A VM of this zone was heard.
     PeerSeen(VmIncarnation),
     /// The zone's coordinator was heard, and whether it names this VM as a standby.
-    CoordinatorHeard(Term, bool),
+    CoordinatorAnnounced(Term, bool),
     /// The coordinator that was followed says that it coordinates no more, or its stream broke.
-    CoordinatorGone,
+    CoordinatorLost,
     /// A detached coordinator asks this VM to keep new owners.
-    RecordAsked(RecordBatch),
+    RecordBatchReceived(RecordBatch),
     /// A standby answered a batch.
-    RecordAnswered(RecordResponse),
+    RecordResponseReceived(RecordResponse),
     /// A VM with this term asks this one to coordinate no more.
-    StepDownAsked(Term),
+    StepDownRequested(Term),
     /// The former coordinator has stepped down.
-    StepDownAnswered(Term),
+    StepDownConfirmed(Term),
     /// The process is to stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// What a coordinator wants done.
@@ -126,13 +126,13 @@
     /// Send an order to a target.
     SendOrder(TargetOrder),
     /// Ask a standby to keep new owners.
-    AskRecord(VmIncarnation, RecordBatch),
+    SendRecordBatch(VmIncarnation, RecordBatch),
     /// Answer the coordinator that asked to keep new owners.
-    AnswerRecord(RecordResponse),
+    SendRecordResponse(RecordResponse),
     /// Ask the former coordinator to step down.
-    AskStepDown(VmIncarnation, Term),
+    RequestStepDown(VmIncarnation, Term),
     /// Tell the asking VM that this one coordinates no more.
-    AnswerStepDown(Term),
+    ConfirmStepDown(Term),
     /// Log a notice.
     Notify(ZoneNotice),
 }
@@ -141,7 +141,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneNotice {
     /// This VM took the mandate.
-    MandateTaken(Term),
+    MandateAcquired(Term),
     /// This VM coordinates.
     Leading(Term),
     /// A higher term was seen.
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -273,7 +273,7 @@
             MandatePhase::Taking => {
                 self.highest_term = self.highest_term.max(self.term);
                 self.advance_mandate(MandateEvent::Taken);
-                self.notify(ZoneNotice::MandateTaken(self.term));
+                self.notify(ZoneNotice::MandateAcquired(self.term));
                 self.begin_loading();
             }
             MandatePhase::Detached => {
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -100,7 +100,7 @@
 /// The target that an event is an answer of.
 fn answering_target(event: &ZoneEvent) -> Option<TargetKey> {
     match event {
-        ZoneEvent::TargetAnswered(reply) => Some(reply.target),
+        ZoneEvent::TargetReplied(reply) => Some(reply.target),
         ZoneEvent::TargetFailed(target, _) => Some(*target),
         _ => None,
     }
@@ -256,31 +256,31 @@
                 self.note_placement_written(call, service, answer, now);
             }
             ZoneEvent::VmsListed(names) => self.listed = Some(names.into_iter().collect()),
-            ZoneEvent::TargetAnswered(reply) => self.note_reply(&reply, now),
+            ZoneEvent::TargetReplied(reply) => self.note_reply(&reply, now),
             ZoneEvent::TargetFailed(target, sequence) => {
                 if let Some(session) = self.sessions.get_mut(&target) {
                     session.fail(sequence, now, &self.settings.times);
                 }
             }
             ZoneEvent::PeerSeen(vm) => self.note_peer(vm, now),
-            ZoneEvent::CoordinatorHeard(term, standby) => {
+            ZoneEvent::CoordinatorAnnounced(term, standby) => {
                 self.named_standby = standby;
                 self.note_coordinator(term, now);
             }
-            ZoneEvent::CoordinatorGone => {
+            ZoneEvent::CoordinatorLost => {
                 self.forsaken = true;
                 self.watch.hurry(now);
             }
-            ZoneEvent::RecordAsked(batch) => self.note_record_asked(&batch, now),
-            ZoneEvent::RecordAnswered(answer) => self.note_record_answer(&answer, now),
-            ZoneEvent::StepDownAsked(term) => self.note_step_down(term),
-            ZoneEvent::StepDownAnswered(term) => {
+            ZoneEvent::RecordBatchReceived(batch) => self.note_record_asked(&batch, now),
+            ZoneEvent::RecordResponseReceived(answer) => self.note_record_answer(&answer, now),
+            ZoneEvent::StepDownRequested(term) => self.note_step_down(term),
+            ZoneEvent::StepDownConfirmed(term) => {
                 self.see_term(term);
                 if self.coordinates() && term == self.term {
                     self.predecessor.stopped_at.get_or_insert(now);
                 }
             }
-            ZoneEvent::StopAsked => self.stop_wanted = true,
+            ZoneEvent::StopRequested => self.stop_wanted = true,
         }
     }
 
@@ -319,7 +319,7 @@
 
     fn note_step_down(&mut self, term: Term) {
         self.see_term(term);
-        self.actions.push(ZoneAction::AnswerStepDown(self.highest_term));
+        self.actions.push(ZoneAction::ConfirmStepDown(self.highest_term));
     }
 
     /// Takes note of a term; a higher one than this VM's ends its coordination.
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -46,7 +46,7 @@
         if now >= round.next_ask {
             round.next_ask = now + ASK_PERIOD;
             for vm in &round.missing {
-                let ask = ZoneAction::AskRecord(vm.clone(), round.batch.clone());
+                let ask = ZoneAction::SendRecordBatch(vm.clone(), round.batch.clone());
                 self.actions.push(ask);
             }
         }
@@ -130,6 +130,6 @@
             number: batch.number,
             kept,
         };
-        self.actions.push(ZoneAction::AnswerRecord(answer));
+        self.actions.push(ZoneAction::SendRecordResponse(answer));
     }
 }
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -327,7 +327,7 @@
             return;
         }
         self.predecessor.asked_at = now;
-        self.actions.push(ZoneAction::AskStepDown(holder, self.term));
+        self.actions.push(ZoneAction::RequestStepDown(holder, self.term));
     }
 
     /// Forgets targets that are declared no more and hold nothing.
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -299,13 +299,15 @@
 }
 
 fn is_kept(actions: &[ZoneAction]) -> bool {
-    actions.iter().any(|action| matches!(action, ZoneAction::AnswerRecord(answer) if answer.kept))
+    actions
+        .iter()
+        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.kept))
 }
 
 #[test]
 fn a_standby_that_began_to_take_the_mandate_keeps_no_record() {
     let mut lone = LoneVm::new();
-    assert!(is_kept(&lone.give(ZoneEvent::RecordAsked(batch(4)))), "a follower keeps it");
+    assert!(is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))), "a follower keeps it");
     for _ in 0..24 {
         lone.wait(300);
         if lone.coordinator.phase() == MandatePhase::Follower {
@@ -313,7 +315,7 @@
         }
     }
     assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
-    assert!(!is_kept(&lone.give(ZoneEvent::RecordAsked(batch(4)))));
+    assert!(!is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))));
 }
 
 #[test]
--- a/crates/nickellead_lease/tests/world/carry.rs
+++ b/crates/nickellead_lease/tests/world/carry.rs
@@ -42,7 +42,7 @@
             let standbys = standbys.flat_map(|mandate| &mandate.standbys);
             let mut standbys = standbys;
             let named = standbys.any(|standby| standby.vm == self.vms[vm].name);
-            let heard = ZoneEvent::CoordinatorHeard(term, named);
+            let heard = ZoneEvent::CoordinatorAnnounced(term, named);
             self.send(Payload::Peer(other, vm, heard));
         }
     }
@@ -92,7 +92,7 @@
             Payload::Order(vm, target, order) => self.deliver_order(vm, target, &order),
             Payload::Reply(vm, target, reply) => {
                 if !self.cut_targets.contains(&(vm, target)) {
-                    self.give(vm, ZoneEvent::TargetAnswered(reply));
+                    self.give(vm, ZoneEvent::TargetReplied(reply));
                 }
             }
             Payload::Platform(vm, action) => {
@@ -140,27 +140,27 @@
                 let target = self.target_of(order.target);
                 self.send(Payload::Order(vm, target, order));
             }
-            ZoneAction::AskRecord(to, batch) => {
+            ZoneAction::SendRecordBatch(to, batch) => {
                 if let Some(other) = self.vm_of(&to) {
-                    self.send(Payload::Peer(vm, other, ZoneEvent::RecordAsked(batch)));
+                    self.send(Payload::Peer(vm, other, ZoneEvent::RecordBatchReceived(batch)));
                 }
             }
-            ZoneAction::AnswerRecord(answer) => {
+            ZoneAction::SendRecordResponse(answer) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
-                    let event = ZoneEvent::RecordAnswered(answer.clone());
+                    let event = ZoneEvent::RecordResponseReceived(answer.clone());
                     self.send(Payload::Peer(vm, other, event));
                 }
             }
-            ZoneAction::AskStepDown(to, term) => {
+            ZoneAction::RequestStepDown(to, term) => {
                 if let Some(other) = self.vm_of(&to) {
-                    self.send(Payload::Peer(vm, other, ZoneEvent::StepDownAsked(term)));
+                    self.send(Payload::Peer(vm, other, ZoneEvent::StepDownRequested(term)));
                 }
             }
-            ZoneAction::AnswerStepDown(term) => {
+            ZoneAction::ConfirmStepDown(term) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
                     let holder = self.vms[other].coordinator.former_holder();
                     if holder.as_ref() == Some(from) {
-                        let event = ZoneEvent::StepDownAnswered(term);
+                        let event = ZoneEvent::StepDownConfirmed(term);
                         self.send(Payload::Peer(vm, other, event));
                     }
                 }
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/world/mod.rs
@@ -332,7 +332,7 @@
     /// Asks the coordinator to stop as planned.
     pub fn stop_leader(&mut self) {
         if let Some(vm) = self.leader() {
-            self.give(vm, ZoneEvent::StopAsked);
+            self.give(vm, ZoneEvent::StopRequested);
         }
     }
 
--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -98,8 +98,8 @@
                 actions.into_iter().for_each(|action| self.act(action));
             }
             CoordinationMessage::Record(batch, answer) => {
-                for action in self.step(ZoneEvent::RecordAsked(batch)) {
-                    if let ZoneAction::AnswerRecord(reply) = action {
+                for action in self.step(ZoneEvent::RecordBatchReceived(batch)) {
+                    if let ZoneAction::SendRecordResponse(reply) = action {
                         // The asker may be gone by now.
                         let _ = answer.send(reply);
                         break;
@@ -108,8 +108,8 @@
                 }
             }
             CoordinationMessage::StepDown(term, answer) => {
-                self.step(ZoneEvent::StepDownAsked(term)).into_iter().for_each(|action| {
-                    if !matches!(action, ZoneAction::AnswerStepDown(_)) {
+                self.step(ZoneEvent::StepDownRequested(term)).into_iter().for_each(|action| {
+                    if !matches!(action, ZoneAction::ConfirmStepDown(_)) {
                         self.act(action);
                     }
                 });
@@ -130,14 +130,14 @@
             ZoneAction::SendOrder(order) => {
                 offer(&self.rings.orders, OrderMessage::Send(Box::new(order)));
             }
-            ZoneAction::AskRecord(vm, batch) => {
+            ZoneAction::SendRecordBatch(vm, batch) => {
                 offer(&self.rings.peers, PeerMessage::AskRecord(vm, batch));
             }
-            ZoneAction::AskStepDown(vm, term) => {
+            ZoneAction::RequestStepDown(vm, term) => {
                 offer(&self.rings.peers, PeerMessage::AskStepDown(vm, term));
             }
             ZoneAction::Notify(notice) => self.log(&notice),
-            ZoneAction::AnswerRecord(_) | ZoneAction::AnswerStepDown(_) => {}
+            ZoneAction::SendRecordResponse(_) | ZoneAction::ConfirmStepDown(_) => {}
             call @ (ZoneAction::ReadMandate(..)
             | ZoneAction::WriteMandate(..)
             | ZoneAction::ReadPlacement(..)
@@ -192,7 +192,7 @@
     fn log(&self, notice: &ZoneNotice) {
         let zone = &self.zone;
         match notice {
-            ZoneNotice::MandateTaken(term) => {
+            ZoneNotice::MandateAcquired(term) => {
                 log_event(EventName::MandateTaken, &[("zone", zone), ("term", term)]);
             }
             ZoneNotice::Leading(term) => {
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -181,7 +181,7 @@
         let end = Instant::now() + limit;
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
         self.readiness.stop();
-        offer(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopAsked));
+        offer(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
         std::thread::sleep(Duration::from_millis(u64::from(self.settings.stop_linger_ms)));
         self.callers.stop();
         let workers_done = self.workers.into_iter().all(|worker| join_until(worker, end));
--- a/crates/nickellead_run/src/orders.rs
+++ b/crates/nickellead_run/src/orders.rs
@@ -66,7 +66,7 @@
                 let (client, coordination) = (Rc::clone(&client), coordination.clone());
                 actix_rt::spawn(async move {
                     let event = match send(&client, address, &order).await {
-                        Some(reply) => ZoneEvent::TargetAnswered(reply),
+                        Some(reply) => ZoneEvent::TargetReplied(reply),
                         None => ZoneEvent::TargetFailed(order.target, order.sequence),
                     };
                     offer(&coordination, CoordinationMessage::Event(event));
--- a/crates/nickellead_run/src/peers/follow.rs
+++ b/crates/nickellead_run/src/peers/follow.rs
@@ -44,7 +44,7 @@
             continue;
         }
         if std::mem::take(&mut followed) {
-            let gone = CoordinationMessage::Event(ZoneEvent::CoordinatorGone);
+            let gone = CoordinationMessage::Event(ZoneEvent::CoordinatorLost);
             offer(hub.coordination(), gone);
         }
         tokio::time::sleep(SEARCH_PAUSE).await;
@@ -55,7 +55,7 @@
 fn hear(hub: &PeerHub, search: &mut PeerSearch, reply: FollowReply) -> Option<ZoneEvent> {
     let (term, standby) = (reply.term, reply.standby);
     search.wait_ms = if standby { STANDBY_WAIT_MS } else { FOLLOW_WAIT_MS };
-    hub.take_reply(reply).then_some(ZoneEvent::CoordinatorHeard(term, standby))
+    hub.take_reply(reply).then_some(ZoneEvent::CoordinatorAnnounced(term, standby))
 }
 
 /// While this VM coordinates, follows the coordinators of the other zones.
--- a/crates/nickellead_run/src/peers/mod.rs
+++ b/crates/nickellead_run/src/peers/mod.rs
@@ -122,8 +122,8 @@
     actix_rt::spawn(async move {
         let mut client = PeerClient::new(address, PEER_PATH);
         let event = match client.call(&request, ASK_TIMEOUT).await {
-            Ok(PeerReply::Record(answer)) => ZoneEvent::RecordAnswered(answer),
-            Ok(PeerReply::SteppedDown(term)) => ZoneEvent::StepDownAnswered(term),
+            Ok(PeerReply::Record(answer)) => ZoneEvent::RecordResponseReceived(answer),
+            Ok(PeerReply::SteppedDown(term)) => ZoneEvent::StepDownConfirmed(term),
             // Asked again by a later tick.
             _ => return,
         };
