--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -8,8 +8,8 @@
     Epoch, Incarnation, Name, Sequence, ServiceKey, ShardIndex, TargetKey, Term, Version,
 };
 
-use crate::mandate::{MandateObject, StandbyVm};
-use crate::object::{PlacementObject, ReadAnswer, WriteAnswer};
+use crate::mandate::{MandateObject, VmIncarnation};
+use crate::object::{PlacementObject, ReadOutcome, WriteOutcome};
 use crate::order::{TargetOrder, TargetReply};
 use crate::times::LeaseTimes;
 
@@ -23,7 +23,7 @@
     /// The VM's availability zone.
     pub zone: Name,
     /// The VM and this life of its process.
-    pub vm: StandbyVm,
+    pub vm: VmIncarnation,
     /// The times that leases live by.
     pub times: LeaseTimes,
     /// Most standbys that the mandate names.
@@ -60,7 +60,7 @@
 
 /// A standby's answer to a [`RecordBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct RecordAnswer {
+pub struct RecordResponse {
     /// Name of the standby.
     pub vm: Name,
     /// The life of its process.
@@ -81,35 +81,35 @@
     /// The declarations changed, or were read for the first time.
     ConfigChanged(Arc<DeclaredConfig>),
     /// Answer to a read of the mandate.
-    MandateRead(CallId, ReadAnswer<MandateObject>),
+    MandateRead(CallId, ReadOutcome<MandateObject>),
     /// Answer to a write of the mandate.
-    MandateWritten(CallId, WriteAnswer),
+    MandateWritten(CallId, WriteOutcome),
     /// Answer to a read of a placement.
-    PlacementRead(CallId, ServiceKey, ReadAnswer<PlacementObject>),
+    PlacementRead(CallId, ServiceKey, ReadOutcome<PlacementObject>),
     /// Answer to a write of a placement.
-    PlacementWritten(CallId, ServiceKey, WriteAnswer),
+    PlacementWritten(CallId, ServiceKey, WriteOutcome),
     /// The platform's list of live and leaving VMs.
     VmsListed(Vec<Name>),
     /// A target answered.
-    TargetAnswered(TargetReply),
+    TargetReplied(TargetReply),
     /// A target did not answer an order.
     TargetFailed(TargetKey, Sequence),
     /// A VM of this zone was heard.
-    PeerSeen(StandbyVm),
+    PeerSeen(VmIncarnation),
     /// The zone's coordinator was heard, and whether it names this VM as a standby.
-    CoordinatorHeard(Term, bool),
+    CoordinatorAnnounced(Term, bool),
     /// The coordinator that was followed says that it coordinates no more, or its stream broke.
-    CoordinatorGone,
+    CoordinatorLost,
     /// A detached coordinator asks this VM to keep new owners.
-    RecordAsked(RecordBatch),
+    RecordBatchReceived(RecordBatch),
     /// A standby answered a batch.
-    RecordAnswered(RecordAnswer),
+    RecordResponseReceived(RecordResponse),
     /// A VM with this term asks this one to coordinate no more.
-    StepDownAsked(Term),
+    StepDownRequested(Term),
     /// The former coordinator has stepped down.
-    StepDownAnswered(Term),
+    StepDownConfirmed(Term),
     /// The process is to stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// What a coordinator wants done.
@@ -126,13 +126,13 @@
     /// Send an order to a target.
     SendOrder(TargetOrder),
     /// Ask a standby to keep new owners.
-    AskRecord(StandbyVm, RecordBatch),
+    SendRecordBatch(VmIncarnation, RecordBatch),
     /// Answer the coordinator that asked to keep new owners.
-    AnswerRecord(RecordAnswer),
+    SendRecordResponse(RecordResponse),
     /// Ask the former coordinator to step down.
-    AskStepDown(StandbyVm, Term),
+    RequestStepDown(VmIncarnation, Term),
     /// Tell the asking VM that this one coordinates no more.
-    AnswerStepDown(Term),
+    ConfirmStepDown(Term),
     /// Log a notice.
     Notify(ZoneNotice),
 }
@@ -141,7 +141,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneNotice {
     /// This VM took the mandate.
-    MandateTaken(Term),
+    MandateAcquired(Term),
     /// This VM coordinates.
     Leading(Term),
     /// A higher term was seen.
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -6,7 +6,7 @@
 
 mod event;
 mod loading;
-mod mandate_keeper;
+mod mandate_lease;
 mod moves;
 mod records;
 mod succession;
@@ -21,16 +21,16 @@
 };
 
 pub use event::{
-    CallId, CoordinatorSettings, RecordAnswer, RecordBatch, ShardRecordEntry, TargetStatus,
+    CallId, CoordinatorSettings, RecordBatch, RecordResponse, ShardRecordEntry, TargetStatus,
     ZoneAction, ZoneEvent, ZoneNotice,
 };
 
 use crate::charts::{MandateEvent, MandatePhase, charts};
-use crate::mandate::StandbyVm;
+use crate::mandate::VmIncarnation;
 use crate::session::TargetSession;
 use crate::shard::ServicePlacement;
 use crate::view::{ZoneDelta, ZoneLog};
-use mandate_keeper::MandateWatch;
+use mandate_lease::MandateWatch;
 use records::RecordRound;
 
 /// Ended lives of VMs that are remembered.
@@ -44,7 +44,7 @@
     /// Whether this VM has every record the predecessor may have made.
     records_known: bool,
     /// Who it was, to be asked to step down.
-    holder: Option<StandbyVm>,
+    holder: Option<VmIncarnation>,
     /// When it was last asked.
     asked_at: Timestamp,
 }
@@ -76,9 +76,9 @@
     placements: BTreeMap<ServiceKey, ServicePlacement>,
     calls: BTreeMap<ServiceKey, PlacementCall>,
     last_call: CallId,
-    peers: BTreeMap<Name, (StandbyVm, Timestamp)>,
+    peers: BTreeMap<Name, (VmIncarnation, Timestamp)>,
     /// Lives of VMs that were followed by another; a late word of theirs counts no more.
-    ended_lives: VecDeque<StandbyVm>,
+    ended_lives: VecDeque<VmIncarnation>,
     listed: Option<BTreeSet<Name>>,
     last_heard: Timestamp,
     /// Whether the coordinator last heard named this VM as its standby; a VM that has
@@ -100,7 +100,7 @@
 /// The target that an event is an answer of.
 fn answering_target(event: &ZoneEvent) -> Option<TargetKey> {
     match event {
-        ZoneEvent::TargetAnswered(reply) => Some(reply.target),
+        ZoneEvent::TargetReplied(reply) => Some(reply.target),
         ZoneEvent::TargetFailed(target, _) => Some(*target),
         _ => None,
     }
@@ -185,7 +185,7 @@
 
     /// The coordinator before this one, as far as it is known.
     #[must_use]
-    pub fn former_holder(&self) -> Option<StandbyVm> {
+    pub fn former_holder(&self) -> Option<VmIncarnation> {
         self.predecessor.holder.clone()
     }
 
@@ -256,31 +256,31 @@
                 self.note_placement_written(call, service, answer, now);
             }
             ZoneEvent::VmsListed(names) => self.listed = Some(names.into_iter().collect()),
-            ZoneEvent::TargetAnswered(reply) => self.note_reply(&reply, now),
+            ZoneEvent::TargetReplied(reply) => self.note_reply(&reply, now),
             ZoneEvent::TargetFailed(target, sequence) => {
                 if let Some(session) = self.sessions.get_mut(&target) {
                     session.fail(sequence, now, &self.settings.times);
                 }
             }
             ZoneEvent::PeerSeen(vm) => self.note_peer(vm, now),
-            ZoneEvent::CoordinatorHeard(term, standby) => {
+            ZoneEvent::CoordinatorAnnounced(term, standby) => {
                 self.named_standby = standby;
                 self.note_coordinator(term, now);
             }
-            ZoneEvent::CoordinatorGone => {
+            ZoneEvent::CoordinatorLost => {
                 self.forsaken = true;
                 self.watch.hurry(now);
             }
-            ZoneEvent::RecordAsked(batch) => self.note_record_asked(&batch, now),
-            ZoneEvent::RecordAnswered(answer) => self.note_record_answer(&answer, now),
-            ZoneEvent::StepDownAsked(term) => self.note_step_down(term),
-            ZoneEvent::StepDownAnswered(term) => {
+            ZoneEvent::RecordBatchReceived(batch) => self.note_record_asked(&batch, now),
+            ZoneEvent::RecordResponseReceived(answer) => self.note_record_answer(&answer, now),
+            ZoneEvent::StepDownRequested(term) => self.note_step_down(term),
+            ZoneEvent::StepDownConfirmed(term) => {
                 self.see_term(term);
                 if self.coordinates() && term == self.term {
                     self.predecessor.stopped_at.get_or_insert(now);
                 }
             }
-            ZoneEvent::StopAsked => self.stop_wanted = true,
+            ZoneEvent::StopRequested => self.stop_wanted = true,
         }
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Notes that a VM was heard; a life that another one followed is over for good.
-    fn note_peer(&mut self, vm: StandbyVm, now: Timestamp) {
+    fn note_peer(&mut self, vm: VmIncarnation, now: Timestamp) {
         if self.ended_lives.contains(&vm) {
             return;
         }
@@ -319,7 +319,7 @@
 
     fn note_step_down(&mut self, term: Term) {
         self.see_term(term);
-        self.actions.push(ZoneAction::AnswerStepDown(self.highest_term));
+        self.actions.push(ZoneAction::ConfirmStepDown(self.highest_term));
     }
 
     /// Takes note of a term; a higher one than this VM's ends its coordination.
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -14,8 +14,8 @@
 };
 use nickellead_lease::{
     CoordinatorSettings, GrantGuard, LeaseTimes, MandateObject, MandatePhase, OrderOutcome,
-    ReadAnswer, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, StandbyVm,
-    TargetOrder, ZoneAction, ZoneCoordinator, ZoneEvent,
+    ReadOutcome, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, TargetOrder,
+    VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 use world::{World, name};
 
@@ -236,7 +236,7 @@
 
 impl LoneVm {
     fn new() -> Self {
-        let vm = StandbyVm { vm: name("vm-0"), incarnation: Incarnation(1) };
+        let vm = VmIncarnation { vm: name("vm-0"), incarnation: Incarnation(1) };
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm,
@@ -271,7 +271,7 @@
             _ => None,
         });
         if let Some(call) = read {
-            let answer = ReadAnswer::Found(foreign_mandate(renewal), Version(version));
+            let answer = ReadOutcome::Found(foreign_mandate(renewal), Version(version));
             self.give(ZoneEvent::MandateRead(call, answer));
         }
     }
@@ -281,8 +281,8 @@
 fn foreign_mandate(renewal: u64) -> MandateObject {
     MandateObject {
         term: Term(4),
-        holder: StandbyVm { vm: name("vm-9"), incarnation: Incarnation(9) },
-        standbys: vec![StandbyVm { vm: name("vm-0"), incarnation: Incarnation(1) }],
+        holder: VmIncarnation { vm: name("vm-9"), incarnation: Incarnation(9) },
+        standbys: vec![VmIncarnation { vm: name("vm-0"), incarnation: Incarnation(1) }],
         renewal,
         stopped: false,
     }
@@ -299,13 +299,15 @@
 }
 
 fn is_kept(actions: &[ZoneAction]) -> bool {
-    actions.iter().any(|action| matches!(action, ZoneAction::AnswerRecord(answer) if answer.kept))
+    actions
+        .iter()
+        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.kept))
 }
 
 #[test]
 fn a_standby_that_began_to_take_the_mandate_keeps_no_record() {
     let mut lone = LoneVm::new();
-    assert!(is_kept(&lone.give(ZoneEvent::RecordAsked(batch(4)))), "a follower keeps it");
+    assert!(is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))), "a follower keeps it");
     for _ in 0..24 {
         lone.wait(300);
         if lone.coordinator.phase() == MandatePhase::Follower {
@@ -313,7 +315,7 @@
         }
     }
     assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
-    assert!(!is_kept(&lone.give(ZoneEvent::RecordAsked(batch(4)))));
+    assert!(!is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))));
 }
 
 #[test]
--- a/crates/nickellead_lease/tests/world/carry.rs
+++ b/crates/nickellead_lease/tests/world/carry.rs
@@ -1,7 +1,7 @@
 //! How the world carries messages: VMs meet, actions become messages, messages arrive.
 
 use nickellead_core::{Incarnation, TargetKey};
-use nickellead_lease::{StandbyVm, TargetOrder, ZoneAction, ZoneEvent};
+use nickellead_lease::{TargetOrder, VmIncarnation, ZoneAction, ZoneEvent};
 
 use super::{LATENCY, MESSAGES_MAX, Message, Payload, VmNode, World};
 
@@ -28,7 +28,8 @@
 
     fn hear(&mut self, vm: usize, other: usize) {
         let node = &self.vms[other];
-        let seen = StandbyVm { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
+        let seen =
+            VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         let leads = node.coordinator.publishes();
         let term = node.coordinator.term();
         // VMs ask coordinators; they ask each other only while they know none.
@@ -41,7 +42,7 @@
             let standbys = standbys.flat_map(|mandate| &mandate.standbys);
             let mut standbys = standbys;
             let named = standbys.any(|standby| standby.vm == self.vms[vm].name);
-            let heard = ZoneEvent::CoordinatorHeard(term, named);
+            let heard = ZoneEvent::CoordinatorAnnounced(term, named);
             self.send(Payload::Peer(other, vm, heard));
         }
     }
@@ -91,7 +92,7 @@
             Payload::Order(vm, target, order) => self.deliver_order(vm, target, &order),
             Payload::Reply(vm, target, reply) => {
                 if !self.cut_targets.contains(&(vm, target)) {
-                    self.give(vm, ZoneEvent::TargetAnswered(reply));
+                    self.give(vm, ZoneEvent::TargetReplied(reply));
                 }
             }
             Payload::Platform(vm, action) => {
@@ -126,39 +127,40 @@
         }
         let node = &mut self.vms[vm];
         let actions = node.coordinator.handle(event, node.clock.read(self.now));
-        let from = StandbyVm { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
+        let from =
+            VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         for action in actions {
             self.act(vm, &from, action);
         }
     }
 
-    fn act(&mut self, vm: usize, from: &StandbyVm, action: ZoneAction) {
+    fn act(&mut self, vm: usize, from: &VmIncarnation, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
                 let target = self.target_of(order.target);
                 self.send(Payload::Order(vm, target, order));
             }
-            ZoneAction::AskRecord(to, batch) => {
+            ZoneAction::SendRecordBatch(to, batch) => {
                 if let Some(other) = self.vm_of(&to) {
-                    self.send(Payload::Peer(vm, other, ZoneEvent::RecordAsked(batch)));
+                    self.send(Payload::Peer(vm, other, ZoneEvent::RecordBatchReceived(batch)));
                 }
             }
-            ZoneAction::AnswerRecord(answer) => {
+            ZoneAction::SendRecordResponse(answer) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
-                    let event = ZoneEvent::RecordAnswered(answer.clone());
+                    let event = ZoneEvent::RecordResponseReceived(answer.clone());
                     self.send(Payload::Peer(vm, other, event));
                 }
             }
-            ZoneAction::AskStepDown(to, term) => {
+            ZoneAction::RequestStepDown(to, term) => {
                 if let Some(other) = self.vm_of(&to) {
-                    self.send(Payload::Peer(vm, other, ZoneEvent::StepDownAsked(term)));
+                    self.send(Payload::Peer(vm, other, ZoneEvent::StepDownRequested(term)));
                 }
             }
-            ZoneAction::AnswerStepDown(term) => {
+            ZoneAction::ConfirmStepDown(term) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
                     let holder = self.vms[other].coordinator.former_holder();
                     if holder.as_ref() == Some(from) {
-                        let event = ZoneEvent::StepDownAnswered(term);
+                        let event = ZoneEvent::StepDownConfirmed(term);
                         self.send(Payload::Peer(vm, other, event));
                     }
                 }
@@ -172,7 +174,7 @@
         self.targets.iter().position(|target| TargetKey::from(&target.name) == key).unwrap()
     }
 
-    fn vm_of(&self, vm: &StandbyVm) -> Option<usize> {
+    fn vm_of(&self, vm: &VmIncarnation) -> Option<usize> {
         let same =
             |node: &VmNode| node.name == vm.vm && Incarnation(node.incarnation) == vm.incarnation;
         self.vms.iter().position(same)
