--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{RangeKeeper, RangeMap, WriteFate, judge_write};
+use nickellead_range::{RangeController, RangeMap, WriteFate, judge_write};
 
 use super::ControlDuty;
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
@@ -11,7 +11,7 @@
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Writes the map if it changed.
     pub(super) fn write_map(self: &Rc<Self>) {
-        let write = self.keeper.borrow_mut().as_mut().and_then(RangeKeeper::take_write);
+        let write = self.keeper.borrow_mut().as_mut().and_then(RangeController::take_write);
         let Some((map, edit)) = write else { return };
         // The revision belongs to this keeper: one made before the write starts has another.
         let expected = self.map_revision.get();
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_range::{HolderRecord, KeyLoad, LatenessWatch, MandateState, RangeKeeper};
+use nickellead_range::{HolderRecord, KeyLoad, LatenessWatch, MandateState, RangeController};
 use tokio::sync::watch;
 
 use self::admission::TargetFigures;
@@ -84,7 +84,7 @@
     relay: Rc<NewsRelay>,
     mandate: RefCell<MandateState>,
     /// Stands while this VM holds the mandate, also when it ran out.
-    keeper: RefCell<Option<RangeKeeper>>,
+    keeper: RefCell<Option<RangeController>>,
     /// The store's era at the last look.
     era: Cell<StoreEra>,
     /// Whether the mandate allowed nothing at the last look.
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -5,7 +5,7 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{InheritedMap, KeeperSettings, MandatePower, RangeKeeper, RangeMap};
+use nickellead_range::{ControllerSettings, InheritedMap, MandatePower, RangeController, RangeMap};
 use nickellead_time::BootClock;
 
 use super::{ControlDuty, draw_number};
@@ -135,7 +135,7 @@
         let writer = draw_number();
         let lateness = &mut self.lateness.borrow_mut();
         let keeper =
-            RangeKeeper::take_over(settings, predecessors, inherited, writer, lateness, now);
+            RangeController::take_over(settings, predecessors, inherited, writer, lateness, now);
         self.keeper.replace(Some(keeper));
         log_event(EventName::CoordinatorLeading, &[("vm", &self.vm)]);
         true
@@ -143,8 +143,8 @@
 }
 
 /// The keeper's times on the users' platform.
-pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> KeeperSettings {
-    KeeperSettings {
+pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> ControllerSettings {
+    ControllerSettings {
         hold: ownership.hold(),
         renewal: ownership.renewal(),
         retry: ORDER_RETRY,
--- a/crates/nickellead_range/src/keeper/candidates.rs
+++ b/crates/nickellead_range/src/controller/candidates.rs
@@ -4,11 +4,11 @@
 
 use nickellead_core::enforced;
 
-use super::{RangeKeeper, RangeWork};
+use super::{RangeController, RangeWork};
 use crate::map::KEY_COUNT;
 use crate::{HolderRecord, OwnerCandidate, RangeRecord};
 
-impl RangeKeeper {
+impl RangeController {
     /// Takes over who may own ranges of a service, and replaces owners who may not.
     ///
     /// `pick` chooses among the candidates for a range that needs an owner.
--- a/crates/nickellead_range/src/keeper/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -23,7 +23,7 @@
 
 /// Times of the keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperSettings {
+pub struct ControllerSettings {
     /// How long a target holds a range after a grant arrived.
     pub hold: Duration,
     /// Between two renewals of a grant.
@@ -38,7 +38,7 @@
     pub drift: DriftBound,
 }
 
-impl KeeperSettings {
+impl ControllerSettings {
     /// Latest end of a hold whose grant is sent at `sent`, by this VM's clock.
     fn hold_bound(&self, sent: Timestamp) -> Timestamp {
         sent + self.drift.stretch(self.hold) + self.margin
@@ -97,8 +97,8 @@
 
 /// Decides orders and writes for the VM that holds the mandate.
 #[derive(Clone, Debug)]
-pub struct RangeKeeper {
-    settings: KeeperSettings,
+pub struct RangeController {
+    settings: ControllerSettings,
     map: RangeMap,
     /// By service and first key of the range.
     work: BTreeMap<(String, u16), RangeWork>,
@@ -136,7 +136,7 @@
     }
 }
 
-impl RangeKeeper {
+impl RangeController {
     /// Takes over what the store holds.
     ///
     /// A predecessor may go on renewing what stands for the grace time, so every holder named in
@@ -151,7 +151,7 @@
     /// that time are over; if this VM was not even told it, no renewals either.
     #[must_use]
     pub fn take_over(
-        settings: KeeperSettings,
+        settings: ControllerSettings,
         predecessors: PredecessorBounds,
         inherited: InheritedMap,
         writer: u64,
--- a/crates/nickellead_range/src/keeper/moves.rs
+++ b/crates/nickellead_range/src/controller/moves.rs
@@ -1,10 +1,10 @@
 //! Moves of ranges: splitting at their edges, starting them, and joining what belongs together.
 
-use super::{RangeKeeper, RangeWork};
+use super::{RangeController, RangeWork};
 use crate::plan::split_at;
 use crate::{MoveProposal, RangeRecord};
 
-impl RangeKeeper {
+impl RangeController {
     /// Starts planned moves; a range that is on the move already is left alone.
     pub fn start_moves(&mut self, service: &str, moves: &[MoveProposal]) {
         for proposal in moves {
--- a/crates/nickellead_range/src/keeper/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -4,10 +4,10 @@
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{MapDoubt, OrderKind, RangeKeeper, RangeOrder, RangeWork, StandingFence};
+use super::{MapDoubt, OrderKind, RangeController, RangeOrder, RangeWork, StandingFence};
 use crate::{HolderRecord, LatenessWatch, RangeRecord};
 
-impl RangeKeeper {
+impl RangeController {
     /// The orders that are due; each must be sent at once or reported as
     /// [`OrderOutcome::NotSent`](crate::OrderOutcome::NotSent).
     ///
--- a/crates/nickellead_range/src/keeper/outcomes.rs
+++ b/crates/nickellead_range/src/controller/outcomes.rs
@@ -2,7 +2,7 @@
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{KeeperSettings, OrderKind, OrderOutcome, RangeKeeper, RangeOrder, RangeWork};
+use super::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder, RangeWork};
 use crate::RangeRecord;
 
 /// Silences in a row from which a target's own debts count: a lost target takes no connection, so
@@ -12,7 +12,7 @@
 /// Releases that are not answered are sent again after at most this many times the retry time.
 const RELEASE_SLOWEST: u32 = 5;
 
-impl RangeKeeper {
+impl RangeController {
     /// Takes in what became of an order that this keeper decided.
     pub fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
         let bound = self.hold_bound(now);
@@ -79,7 +79,7 @@
         range: &mut RangeRecord,
         outcome: OrderOutcome,
         now: Timestamp,
-        settings: KeeperSettings,
+        settings: ControllerSettings,
     ) {
         match outcome {
             OrderOutcome::Done(token) => {
@@ -114,7 +114,12 @@
     }
 
     /// Takes in that a grant may have taken effect, or may yet.
-    fn note_grant_in_doubt(&mut self, bound: Timestamp, now: Timestamp, settings: KeeperSettings) {
+    fn note_grant_in_doubt(
+        &mut self,
+        bound: Timestamp,
+        now: Timestamp,
+        settings: ControllerSettings,
+    ) {
         self.owner_was_silent |= self.silences >= SILENCES_LATE;
         self.owner_until = self.owner_until.max(bound);
         self.owner_debt_until = self.owner_debt_until.max(bound + settings.lateness);
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -3,13 +3,13 @@
 //! A target holds a range of a service's numeric key space for a hold time
 //! that starts when a grant arrives. It refuses a grant whose fence is lower
 //! than one it has seen. [`RangeMap`] is what the store keeps; the
-//! [`RangeKeeper`] decides every order and every write of the map. Its
+//! [`RangeController`] decides every order and every write of the map. Its
 //! functions take the time and what happened, and return what is to be done:
 //! nothing here does input or output or reads a clock.
 
 mod change;
+mod controller;
 mod found;
-mod keeper;
 mod lateness;
 mod load;
 mod mandate;
@@ -20,8 +20,8 @@
 mod stored;
 
 pub use change::{MapChange, MapChangeError};
+pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
 pub use found::{InheritedMap, WriteFate, judge_write};
-pub use keeper::{KeeperSettings, OrderKind, OrderOutcome, RangeKeeper, RangeOrder};
 pub use lateness::LatenessWatch;
 pub use load::KeyLoad;
 pub use mandate::{
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -8,7 +8,7 @@
 use nickellead_core::Timestamp;
 use nickellead_range::{
     HolderRecord, InheritedMap, LastOrder, LatenessWatch, OrderOutcome, OwnerCandidate,
-    PredecessorBounds, RENEWAL_GRACE, RangeKeeper, RangeMap, RangeOrder,
+    PredecessorBounds, RENEWAL_GRACE, RangeController, RangeMap, RangeOrder,
 };
 use world::{SERVICE, holder, settings};
 
@@ -25,7 +25,7 @@
 
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
 struct LostTarget {
-    keeper: RangeKeeper,
+    keeper: RangeController,
     lateness: LatenessWatch,
     lost: Timestamp,
     unlisted: Timestamp,
@@ -34,7 +34,7 @@
 impl LostTarget {
     fn new(lost: Timestamp, unlisted: Timestamp) -> Self {
         let mut lateness = LatenessWatch::default();
-        let keeper = RangeKeeper::take_over(
+        let keeper = RangeController::take_over(
             settings(),
             NO_PREDECESSORS,
             InheritedMap::default(),
@@ -124,7 +124,7 @@
     let last = LastOrder::After(RENEWAL_GRACE);
     let predecessors = PredecessorBounds { last, ..NO_PREDECESSORS };
     let mut world = LostTarget::new(taken, taken + LOOK * 3);
-    world.keeper = RangeKeeper::take_over(
+    world.keeper = RangeController::take_over(
         settings(),
         predecessors,
         InheritedMap { map: before, ..InheritedMap::default() },
--- a/crates/nickellead_range/tests/lateness.rs
+++ b/crates/nickellead_range/tests/lateness.rs
@@ -7,7 +7,7 @@
 
 use nickellead_range::{
     InheritedMap, LastOrder, LatenessWatch, OrderKind, OrderOutcome, OwnerCandidate,
-    PredecessorBounds, RangeKeeper, RangeOrder,
+    PredecessorBounds, RangeController, RangeOrder,
 };
 use world::{SERVICE, holder, settings};
 
@@ -16,12 +16,12 @@
     PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
 
 /// A keeper whose two targets have confirmed their grants at 10,000 ms.
-fn settled_keeper() -> (RangeKeeper, LatenessWatch) {
+fn settled_keeper() -> (RangeController, LatenessWatch) {
     let mut lateness = LatenessWatch::default();
     let candidates: Vec<OwnerCandidate> = (0..2)
         .map(|place| OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None })
         .collect();
-    let mut keeper = RangeKeeper::take_over(
+    let mut keeper = RangeController::take_over(
         settings(),
         NO_PREDECESSORS,
         InheritedMap::default(),
--- a/crates/nickellead_range/tests/world/mod.rs
+++ b/crates/nickellead_range/tests/world/mod.rs
@@ -13,7 +13,7 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_range::{
-    HolderRecord, KeeperSettings, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap,
+    ControllerSettings, HolderRecord, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap,
     RangeOrder, Revision, StoreEra, Stored,
 };
 
@@ -39,8 +39,8 @@
 const COPY_AGES_MS: std::ops::Range<u64> = 1_000..9_000;
 
 /// The keeper's settings in the world.
-pub fn settings() -> KeeperSettings {
-    KeeperSettings {
+pub fn settings() -> ControllerSettings {
+    ControllerSettings {
         hold: Duration::from_millis(4_500),
         renewal: Duration::from_millis(1_000),
         retry: Duration::from_millis(200),
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -5,7 +5,7 @@
 use nickellead_core::Timestamp;
 use nickellead_range::{
     InheritedMap, LatenessWatch, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
-    MoveProposal, OrderOutcome, RangeKeeper, RangeMap, RangeOrder, Revision, Stored, WriteFate,
+    MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored, WriteFate,
     judge_write,
 };
 
@@ -23,7 +23,7 @@
     pub outcomes: Vec<(RangeOrder, OrderOutcome)>,
     mandate: MandateState,
     mandate_due: u64,
-    keeper: Option<RangeKeeper>,
+    keeper: Option<RangeController>,
     /// Whether the mandate allowed nothing at the last step.
     paused: bool,
     lateness: LatenessWatch,
@@ -189,7 +189,8 @@
         vm.read_back_at = None;
         let predecessors = vm.mandate.take_predecessors();
         let lateness = &mut vm.lateness;
-        let keeper = RangeKeeper::take_over(settings(), predecessors, map, writer, lateness, now);
+        let keeper =
+            RangeController::take_over(settings(), predecessors, map, writer, lateness, now);
         vm.keeper = Some(keeper);
     }
     let (era, rival_until) =
@@ -233,7 +234,9 @@
         return;
     }
     let vm = &mut world.vms[place];
-    let Some((map, edit)) = vm.keeper.as_mut().and_then(RangeKeeper::take_write) else { return };
+    let Some((map, edit)) = vm.keeper.as_mut().and_then(RangeController::take_write) else {
+        return;
+    };
     let expected = vm.map_revision;
     match world.call_write_map(place, expected, &map) {
         Ok(Some(revision)) => {
