--- a/benches/capacity/news.rs
+++ b/benches/capacity/news.rs
@@ -11,7 +11,7 @@
     RangesHistory, RangesNews, Revision, Stored,
 };
 use nickellead_peer::encode;
-use nickellead_range::{HolderRecord, MapChange, RangeMap, RangeRecord};
+use nickellead_range::{MapChange, RangeMap, RangeRecord, TargetInstance};
 
 use crate::many_routes::many;
 use crate::{Point, allocated_bytes};
@@ -161,9 +161,9 @@
     RangeMap { fence: 2_000_000, writer: 1 << 60, edit: 1, services, ..RangeMap::default() }
 }
 
-fn holder(number: u32) -> HolderRecord {
+fn holder(number: u32) -> TargetInstance {
     let [_, _, high, low] = number.to_be_bytes();
-    HolderRecord {
+    TargetInstance {
         id: format!("board-{number}-{:08x}", number.wrapping_mul(2_654_435_761)),
         born: None,
         address: format!("10.0.{high}.{low}:8080"),
--- a/crates/nickellead_gateway/src/book/mod.rs
+++ b/crates/nickellead_gateway/src/book/mod.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{HolderRecord, RangeMap};
+use nickellead_range::{RangeMap, TargetInstance};
 use tokio::sync::Notify;
 
 use self::declared::DeclaredPart;
@@ -378,7 +378,7 @@
     }
 
     /// Whether this life of a target is listed.
-    pub(crate) fn lists(&self, life: &HolderRecord) -> bool {
+    pub(crate) fn lists(&self, life: &TargetInstance) -> bool {
         self.targets().get(&life.id).is_some_and(|entry| entry.holder() == *life)
     }
 
--- a/crates/nickellead_gateway/src/book/targets.rs
+++ b/crates/nickellead_gateway/src/book/targets.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::HolderRecord;
+use nickellead_range::TargetInstance;
 
 use crate::packed::{Packed, PackedError};
 use crate::{Revision, StoreEra, TargetChange, TargetEntry, TargetList, TargetState};
@@ -48,7 +48,7 @@
     /// Entries that are gone from the store, and when they are taken as gone.
     pub(super) lapsing: BTreeMap<String, Instant>,
     /// Lives of targets that have gone, and when they went, by identity.
-    departed: BTreeMap<String, (HolderRecord, Instant)>,
+    departed: BTreeMap<String, (TargetInstance, Instant)>,
     /// Entries of such lives that a copy of the store brought back, and when they are listed all the same.
     withheld: BTreeMap<String, (TargetEntry, Instant)>,
     /// The store's era in which targets were last told.
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -5,7 +5,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_limit::kept_rate;
-use nickellead_range::HolderRecord;
+use nickellead_range::TargetInstance;
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
@@ -69,7 +69,7 @@
 
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Takes in what targets said of limits since the last look.
-    pub(super) fn note_limits(&self, counts: BTreeMap<HolderRecord, LimitCounts>) {
+    pub(super) fn note_limits(&self, counts: BTreeMap<TargetInstance, LimitCounts>) {
         let now = BootClock.now();
         let mut limits = self.limits.borrow_mut();
         for (life, new) in counts {
@@ -96,7 +96,7 @@
 
     /// The load that an owner bears which names a limit, or did a while ago: what callers may ask for and be
     /// served.
-    pub(super) fn borne_load(&self, owner: &HolderRecord) -> Option<f64> {
+    pub(super) fn borne_load(&self, owner: &TargetInstance) -> Option<f64> {
         if !self.policy.limit_moves.is_on() {
             return None;
         }
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_range::{HolderRecord, KeyLoad, LatenessWatch, MandateState, RangeController};
+use nickellead_range::{KeyLoad, LatenessWatch, MandateState, RangeController, TargetInstance};
 use tokio::sync::watch;
 
 use self::admission::TargetFigures;
@@ -102,11 +102,11 @@
     /// Number of the last word about crowded owners.
     admission_word: Cell<u64>,
     /// Limits that listed targets name.
-    limits: RefCell<BTreeMap<HolderRecord, HeardLimit>>,
+    limits: RefCell<BTreeMap<TargetInstance, HeardLimit>>,
     /// When a limit of a target was last told.
     limits_told: Cell<Timestamp>,
     /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
-    leaving: RefCell<BTreeSet<HolderRecord>>,
+    leaving: RefCell<BTreeSet<TargetInstance>>,
     /// What this process saw of late orders, over all its keepers.
     lateness: RefCell<LatenessWatch>,
     /// Number of a service's targets, and since when it stands.
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{HolderRecord, MandatePower, OrderKind, OrderOutcome, RangeOrder};
+use nickellead_range::{MandatePower, OrderKind, OrderOutcome, RangeOrder, TargetInstance};
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
@@ -78,7 +78,7 @@
     }
 
     /// Notes a target that said that it leaves: it is to own no keys.
-    fn note_leaving(&self, holder: &HolderRecord, told_on: &str) {
+    fn note_leaving(&self, holder: &TargetInstance, told_on: &str) {
         if self.leaving.borrow_mut().insert(holder.clone()) {
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
                 [("target", &holder.id), ("told_on", &told_on)];
--- a/crates/nickellead_gateway/src/load_count.rs
+++ b/crates/nickellead_gateway/src/load_count.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bincode::{Decode, Encode};
-use nickellead_range::HolderRecord;
+use nickellead_range::TargetInstance;
 
 /// Most keys counted between two looks of one service; the rest is not counted.
 const KEYS_MAX: usize = 8_192;
@@ -21,9 +21,9 @@
     /// What became of requests, by target.
     pub(crate) answers: HashMap<String, AnswerCounts>,
     /// Targets that said that they leave.
-    pub(crate) leaving: BTreeSet<HolderRecord>,
+    pub(crate) leaving: BTreeSet<TargetInstance>,
     /// What targets said of limits.
-    pub(crate) limits: BTreeMap<HolderRecord, LimitCounts>,
+    pub(crate) limits: BTreeMap<TargetInstance, LimitCounts>,
     /// The VMs that counted.
     pub(crate) vms: BTreeSet<VmMark>,
 }
@@ -151,7 +151,7 @@
     }
 
     /// Counts an answer that names a limit, or that names none any more.
-    pub(crate) fn note_limit(&self, target: HolderRecord, limit: Option<f64>) {
+    pub(crate) fn note_limit(&self, target: TargetInstance, limit: Option<f64>) {
         let counts = LimitCounts { least: limit, unlimited: u32::from(limit.is_none()) };
         self.lock().limits.entry(target).or_default().add(counts);
     }
@@ -167,12 +167,12 @@
     }
 
     /// Notes a target that said that it leaves.
-    pub(crate) fn note_leaving(&self, target: HolderRecord) {
+    pub(crate) fn note_leaving(&self, target: TargetInstance) {
         self.lock().leaving.insert(target);
     }
 
     /// Takes the targets that said so since the last look.
-    pub(crate) fn take_leaving(&self) -> BTreeSet<HolderRecord> {
+    pub(crate) fn take_leaving(&self) -> BTreeSet<TargetInstance> {
         std::mem::take(&mut self.lock().leaving)
     }
 
--- a/crates/nickellead_gateway/src/roster.rs
+++ b/crates/nickellead_gateway/src/roster.rs
@@ -11,7 +11,7 @@
 };
 use nickellead_core::Timestamp;
 use nickellead_limit::{AdaptiveLimit, ColdBound, ColdGate, ColdShare, RateGate, TurnQueue};
-use nickellead_range::HolderRecord;
+use nickellead_range::TargetInstance;
 use nickellead_time::BootClock;
 
 use crate::admission::AdmissionTable;
@@ -153,7 +153,7 @@
     }
 
     /// This life of it.
-    pub(crate) fn life(&self) -> HolderRecord {
+    pub(crate) fn life(&self) -> TargetInstance {
         life_of(&self.id, self.born, self.address)
     }
 
@@ -274,7 +274,7 @@
     by_id: HashMap<String, Rc<TargetMember>>,
     by_service: HashMap<String, Vec<Rc<TargetMember>>>,
     /// What lives told of themselves that are not listed now: they may be listed once more.
-    unlisted_signs: HashMap<HolderRecord, SharedSigns>,
+    unlisted_signs: HashMap<TargetInstance, SharedSigns>,
     /// This VM's part of each service.
     subsets: HashMap<String, Vec<Rc<TargetMember>>>,
     /// Services of which this VM's part is smaller than it would be on a small fleet.
@@ -385,7 +385,7 @@
     }
 
     /// The member that is this holder of keys, if it takes requests.
-    pub(crate) fn find(&self, holder: &HolderRecord) -> Option<&Rc<TargetMember>> {
+    pub(crate) fn find(&self, holder: &TargetInstance) -> Option<&Rc<TargetMember>> {
         let member = self.by_id.get(&holder.id)?;
         let same = member.born == holder.born;
         (same && member.state.get() == TargetState::Ready).then_some(member)
--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bincode::{Decode, Encode};
-use nickellead_range::HolderRecord;
+use nickellead_range::TargetInstance;
 
 /// Whether a target stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -46,14 +46,14 @@
     }
 
     /// This life of it, as an owner of keys.
-    pub(crate) fn holder(&self) -> HolderRecord {
+    pub(crate) fn holder(&self) -> TargetInstance {
         life_of(&self.id, self.born, self.address)
     }
 }
 
 /// A life of a target, as an owner of keys.
-pub(crate) fn life_of(id: &str, born: Option<u64>, address: SocketAddr) -> HolderRecord {
-    HolderRecord { id: id.to_owned(), born, address: address.to_string() }
+pub(crate) fn life_of(id: &str, born: Option<u64>, address: SocketAddr) -> TargetInstance {
+    TargetInstance { id: id.to_owned(), born, address: address.to_string() }
 }
 
 /// All listed targets by identity.
--- a/crates/nickellead_gateway/tests/common/owners.rs
+++ b/crates/nickellead_gateway/tests/common/owners.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use nickellead_range::{HolderRecord, OrderKind, RangeOrder};
+use nickellead_range::{OrderKind, RangeOrder, TargetInstance};
 
 /// How long a target holds keys after a grant.
 const HOLD: Duration = Duration::from_millis(4_500);
@@ -12,7 +12,7 @@
 
 /// Who was last granted a key, under which fence, and until when.
 struct KeyHold {
-    holder: HolderRecord,
+    holder: TargetInstance,
     fence: u64,
     until: Instant,
 }
--- a/crates/nickellead_gateway/tests/ranges_history.rs
+++ b/crates/nickellead_gateway/tests/ranges_history.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::unwrap_used)]
 
 use nickellead_gateway::{RangesHistory, RangesNews, RangesStep, Revision, StepsMisfit, Stored};
-use nickellead_range::{HolderRecord, RangeMap, RangeRecord};
+use nickellead_range::{RangeMap, RangeRecord, TargetInstance};
 
 /// Ranges of the maps of these tests.
 const RANGES: u16 = 128;
@@ -19,7 +19,7 @@
             .rev()
             .find(|one| one % u64::from(RANGES) == u64::from(place))
             .unwrap_or(0);
-        let holder = HolderRecord {
+        let holder = TargetInstance {
             id: format!("t{last_move}"),
             born: None,
             address: "10.0.0.1:80".to_owned(),
--- a/crates/nickellead_range/src/controller/candidates.rs
+++ b/crates/nickellead_range/src/controller/candidates.rs
@@ -6,7 +6,7 @@
 
 use super::{RangeController, RangeWork};
 use crate::map::KEY_COUNT;
-use crate::{HolderRecord, OwnerCandidate, RangeRecord};
+use crate::{OwnerCandidate, RangeRecord, TargetInstance};
 
 impl RangeController {
     /// Takes over who may own ranges of a service, and replaces owners who may not.
@@ -16,10 +16,10 @@
         &mut self,
         service: &str,
         candidates: &[OwnerCandidate],
-        pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<HolderRecord>,
+        pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<TargetInstance>,
     ) {
         let usable = |candidate: &&OwnerCandidate| !self.ended.contains(&candidate.holder);
-        let holders: BTreeSet<HolderRecord> =
+        let holders: BTreeSet<TargetInstance> =
             candidates.iter().filter(usable).map(|candidate| candidate.holder.clone()).collect();
         self.candidates.insert(service.to_owned(), holders.clone());
         if holders.is_empty() {
@@ -36,8 +36,8 @@
     fn replace_owners(
         &mut self,
         service: &str,
-        holders: &BTreeSet<HolderRecord>,
-        mut pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<HolderRecord>,
+        holders: &BTreeSet<TargetInstance>,
+        mut pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<TargetInstance>,
     ) {
         let places = self.map.services.get(service).map_or(0, Vec::len);
         for place in 0..places {
@@ -58,7 +58,7 @@
     }
 
     /// Gives a new service's key space to its targets in equal parts.
-    fn divide(&mut self, service: &str, holders: &BTreeSet<HolderRecord>) {
+    fn divide(&mut self, service: &str, holders: &BTreeSet<TargetInstance>) {
         let edit = self.next_edit();
         let count = holders.len() as u32;
         let mut ranges = Vec::new();
@@ -84,7 +84,7 @@
     }
 
     /// Makes `to` the next owner of a range that nobody but its owner may hold.
-    pub(super) fn reassign(&mut self, service: &str, place: usize, to: HolderRecord) {
+    pub(super) fn reassign(&mut self, service: &str, place: usize, to: TargetInstance) {
         let fence = self.next_fence();
         let edit = self.next_edit();
         let Some(ranges) = self.map.services.get_mut(service) else { return };
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -17,8 +17,8 @@
 
 pub use self::order::{OrderKind, OrderOutcome, RangeOrder};
 use crate::{
-    HolderRecord, InheritedMap, LastOrder, LatenessWatch, PredecessorBounds, RangeMap, RangeRecord,
-    StoreEra,
+    InheritedMap, LastOrder, LatenessWatch, PredecessorBounds, RangeMap, RangeRecord, StoreEra,
+    TargetInstance,
 };
 
 /// Times of the keeper.
@@ -103,9 +103,9 @@
     /// By service and first key of the range.
     work: BTreeMap<(String, u16), RangeWork>,
     /// Who may own ranges, by service.
-    candidates: BTreeMap<String, BTreeSet<HolderRecord>>,
+    candidates: BTreeMap<String, BTreeSet<TargetInstance>>,
     /// Lives of targets that are known to have ended.
-    ended: BTreeSet<HolderRecord>,
+    ended: BTreeSet<TargetInstance>,
     /// Number of the last edit of the map.
     edit: u64,
     /// Number of the last edit that is in the store.
--- a/crates/nickellead_range/src/controller/order.rs
+++ b/crates/nickellead_range/src/controller/order.rs
@@ -2,7 +2,7 @@
 
 use nickellead_core::Timestamp;
 
-use crate::HolderRecord;
+use crate::TargetInstance;
 
 /// What an order asks of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Fencing token of the order.
     pub fence: u64,
     /// Who is asked.
-    pub holder: HolderRecord,
+    pub holder: TargetInstance,
     /// What is asked.
     pub kind: OrderKind,
     /// When the order was decided; it is sent no earlier.
--- a/crates/nickellead_range/src/controller/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -5,7 +5,7 @@
 use nickellead_core::{Timestamp, enforced};
 
 use super::{MapDoubt, OrderKind, RangeController, RangeOrder, RangeWork, StandingFence};
-use crate::{HolderRecord, LatenessWatch, RangeRecord};
+use crate::{LatenessWatch, RangeRecord, TargetInstance};
 
 impl RangeController {
     /// The orders that are due; each must be sent at once or reported as
@@ -90,7 +90,7 @@
         &self,
         range: &mut RangeRecord,
         work: &RangeWork,
-        ended: &BTreeSet<HolderRecord>,
+        ended: &BTreeSet<TargetInstance>,
     ) -> bool {
         let Some(previous) = &range.previous else { return false };
         let late = self.lateness.is_target_late(&previous.id, self.now);
@@ -118,7 +118,7 @@
         service: &str,
         range: &RangeRecord,
         work: &mut RangeWork,
-        holders: Option<&BTreeSet<HolderRecord>>,
+        holders: Option<&BTreeSet<TargetInstance>>,
     ) -> Option<RangeOrder> {
         if let Some(previous) = &range.previous
             && enforced!("release_first")
@@ -163,7 +163,7 @@
         service: &str,
         range: &RangeRecord,
         fence: u64,
-        holder: &HolderRecord,
+        holder: &TargetInstance,
         kind: OrderKind,
     ) -> RangeOrder {
         RangeOrder {
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -28,7 +28,7 @@
     MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandatePower, MandateState,
     MandateWrite, RENEWAL_GRACE, RETURN_PRECEDENCE,
 };
-pub use map::{HolderRecord, RangeMap, RangeRecord, ServiceRanges};
+pub use map::{RangeMap, RangeRecord, ServiceRanges, TargetInstance};
 pub use plan::{MoveProposal, OwnerCandidate, lightest_owner, plan_moves};
 pub use predecessors::{LastOrder, PredecessorBounds};
 pub use stored::{MandateRecord, Revision, StoreEra, Stored};
--- a/crates/nickellead_range/src/map.rs
+++ b/crates/nickellead_range/src/map.rs
@@ -14,7 +14,7 @@
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
-pub struct HolderRecord {
+pub struct TargetInstance {
     /// Identity of the target.
     pub id: String,
     /// When this life of it started, as it says itself; `None` if it never keeps an identity.
@@ -34,9 +34,9 @@
     /// Fencing token under which the owner holds or will hold the range.
     pub fence: u64,
     /// Who holds the range, or will once the move is over.
-    pub owner: Option<HolderRecord>,
+    pub owner: Option<TargetInstance>,
     /// Who may still hold the range under a lower fence; `None` once that is ruled out.
-    pub previous: Option<HolderRecord>,
+    pub previous: Option<TargetInstance>,
     /// Whether the owner has confirmed its grant.
     pub settled: bool,
 }
--- a/crates/nickellead_range/src/piece.rs
+++ b/crates/nickellead_range/src/piece.rs
@@ -1,7 +1,7 @@
 //! Which run of a target's keys to move: near the load wanted, and with few keys.
 
 use crate::map::KEY_COUNT;
-use crate::{HolderRecord, KeyLoad, RangeRecord};
+use crate::{KeyLoad, RangeRecord, TargetInstance};
 
 /// Weight of plain size: this many sampled requests are spread evenly over all keys.
 ///
@@ -33,7 +33,7 @@
 pub(crate) fn find_piece(
     ranges: &[RangeRecord],
     load: &KeyLoad,
-    from: &HolderRecord,
+    from: &TargetInstance,
     wanted: PieceWanted,
 ) -> Option<(u16, u16)> {
     let owned = |range: &&RangeRecord| range.settled && range.owner.as_ref() == Some(from);
--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -1,13 +1,13 @@
 //! Which ranges should move where.
 
 use crate::piece::{PieceWanted, find_piece, weigh};
-use crate::{HolderRecord, KeyLoad, RangeRecord};
+use crate::{KeyLoad, RangeRecord, TargetInstance};
 
 /// A target that may own ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerCandidate {
     /// The target.
-    pub holder: HolderRecord,
+    pub holder: TargetInstance,
     /// What it can do beside the others, 1.0 for an ordinary one.
     pub capacity: f64,
     /// The load that it can bear at most, as load is counted; `None` for as much as its capacity says.
@@ -22,7 +22,7 @@
     /// Last key to move, included.
     pub last: u16,
     /// Who should own it.
-    pub to: HolderRecord,
+    pub to: TargetInstance,
 }
 
 /// A target is relieved when its load is this many times its fair share.
@@ -75,7 +75,7 @@
     ranges: &[RangeRecord],
     candidates: &[OwnerCandidate],
     load: &KeyLoad,
-) -> Option<HolderRecord> {
+) -> Option<TargetInstance> {
     let loads = CandidateLoads::new(ranges, candidates, load);
     Some(candidates[loads.lightest()?].holder.clone())
 }
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -7,8 +7,8 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    HolderRecord, InheritedMap, LastOrder, LatenessWatch, OrderOutcome, OwnerCandidate,
-    PredecessorBounds, RENEWAL_GRACE, RangeController, RangeMap, RangeOrder,
+    InheritedMap, LastOrder, LatenessWatch, OrderOutcome, OwnerCandidate, PredecessorBounds,
+    RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
 use world::{SERVICE, holder, settings};
 
@@ -82,7 +82,7 @@
     }
 }
 
-fn lost_holder() -> HolderRecord {
+fn lost_holder() -> TargetInstance {
     holder(1, 1)
 }
 
--- a/crates/nickellead_range/tests/map_changes.rs
+++ b/crates/nickellead_range/tests/map_changes.rs
@@ -1,7 +1,7 @@
 //! Changes of the map of ranges: exact on the map they were made from, refused by others.
 #![allow(clippy::unwrap_used)]
 
-use nickellead_range::{HolderRecord, MapChange, MapChangeError, RangeMap, RangeRecord};
+use nickellead_range::{MapChange, MapChangeError, RangeMap, RangeRecord, TargetInstance};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 /// Services of these tests.
@@ -42,8 +42,11 @@
 }
 
 fn record(first: u16, last: u16, fence: u64, owner: u8) -> RangeRecord {
-    let holder =
-        HolderRecord { id: format!("t{owner}"), born: None, address: format!("10.0.0.{owner}:80") };
+    let holder = TargetInstance {
+        id: format!("t{owner}"),
+        born: None,
+        address: format!("10.0.0.{owner}:80"),
+    };
     RangeRecord { first, last, fence, owner: Some(holder), previous: None, settled: false }
 }
 
--- a/crates/nickellead_range/tests/plans.rs
+++ b/crates/nickellead_range/tests/plans.rs
@@ -2,11 +2,11 @@
 #![allow(clippy::unwrap_used)]
 
 use nickellead_range::{
-    HolderRecord, KeyLoad, OwnerCandidate, RangeRecord, lightest_owner, plan_moves,
+    KeyLoad, OwnerCandidate, RangeRecord, TargetInstance, lightest_owner, plan_moves,
 };
 
-fn holder(place: usize) -> HolderRecord {
-    HolderRecord { id: format!("t{place}"), born: None, address: format!("10.0.0.{place}:80") }
+fn holder(place: usize) -> TargetInstance {
+    TargetInstance { id: format!("t{place}"), born: None, address: format!("10.0.0.{place}:80") }
 }
 
 fn candidates(count: usize) -> Vec<OwnerCandidate> {
@@ -80,7 +80,7 @@
     let (owned, able) = (ranges(100), candidates(100));
     let moves = plan_moves(&owned, &able, &load, 14);
     assert_eq!(moves.len(), 14, "{moves:?}");
-    let receivers: std::collections::BTreeSet<&HolderRecord> =
+    let receivers: std::collections::BTreeSet<&TargetInstance> =
         moves.iter().map(|one| &one.to).collect();
     assert_eq!(receivers.len(), 14, "each hot key goes to a target of its own");
     assert!(moves.iter().all(|one| load.between(one.first, one.last) >= 60.0), "{moves:?}");
--- a/crates/nickellead_range/tests/world/mod.rs
+++ b/crates/nickellead_range/tests/world/mod.rs
@@ -13,8 +13,8 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_range::{
-    ControllerSettings, HolderRecord, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap,
-    RangeOrder, Revision, StoreEra, Stored,
+    ControllerSettings, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap, RangeOrder,
+    Revision, StoreEra, Stored, TargetInstance,
 };
 
 use target::WorldTarget;
@@ -444,6 +444,6 @@
 }
 
 /// The identity of one life of a target.
-pub fn holder(place: usize, life: u64) -> HolderRecord {
-    HolderRecord { id: format!("target-{place}-{life}"), born: None, address: format!("{place}") }
+pub fn holder(place: usize, life: u64) -> TargetInstance {
+    TargetInstance { id: format!("target-{place}-{life}"), born: None, address: format!("{place}") }
 }
--- a/crates/nickellead_range/tests/world/target.rs
+++ b/crates/nickellead_range/tests/world/target.rs
@@ -1,6 +1,6 @@
 //! A target: it holds blocks for a while and refuses lower fences.
 
-use nickellead_range::{HolderRecord, OrderKind, OrderOutcome, RangeOrder};
+use nickellead_range::{OrderKind, OrderOutcome, RangeOrder, TargetInstance};
 
 use super::{BLOCK_KEYS, BLOCKS, holder};
 
@@ -25,7 +25,7 @@
 }
 
 /// Place of the target that an order is sent to.
-pub fn place_of(holder: &HolderRecord) -> usize {
+pub fn place_of(holder: &TargetInstance) -> usize {
     holder.address.parse().unwrap()
 }
 
@@ -68,7 +68,7 @@
         self.is_up(now)
     }
 
-    pub fn holder(&self) -> HolderRecord {
+    pub fn holder(&self) -> TargetInstance {
         holder(self.place, self.life)
     }
 
