--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_range::{KeyLoad, LatenessWatch, MandateState, RangeController, TargetInstance};
+use nickellead_range::{KeyLoad, LateOrderDetector, MandateState, RangeController, TargetInstance};
 use tokio::sync::watch;
 
 use self::admission::TargetFigures;
@@ -108,7 +108,7 @@
     /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
     leaving: RefCell<BTreeSet<TargetInstance>>,
     /// What this process saw of late orders, over all its keepers.
-    lateness: RefCell<LatenessWatch>,
+    lateness: RefCell<LateOrderDetector>,
     /// Number of a service's targets, and since when it stands.
     arrivals: RefCell<HashMap<String, (usize, Timestamp)>>,
     /// What the request duty has counted since the last look.
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -17,7 +17,7 @@
 
 pub use self::order::{OrderKind, OrderOutcome, RangeOrder};
 use crate::{
-    InheritedMap, LastOrder, LatenessWatch, PredecessorBounds, RangeMap, RangeRecord, StoreEra,
+    InheritedMap, LastOrder, LateOrderDetector, PredecessorBounds, RangeMap, RangeRecord, StoreEra,
     TargetInstance,
 };
 
@@ -155,7 +155,7 @@
         predecessors: PredecessorBounds,
         inherited: InheritedMap,
         writer: u64,
-        lateness: &mut LatenessWatch,
+        lateness: &mut LateOrderDetector,
         now: Timestamp,
     ) -> Self {
         let InheritedMap { mut map, era, is_stale } = inherited;
--- a/crates/nickellead_range/src/controller/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -5,7 +5,7 @@
 use nickellead_core::{Timestamp, enforced};
 
 use super::{MapDoubt, OrderKind, RangeController, RangeOrder, RangeWork, StandingFence};
-use crate::{LatenessWatch, RangeRecord, TargetInstance};
+use crate::{LateOrderDetector, RangeRecord, TargetInstance};
 
 impl RangeController {
     /// The orders that are due; each must be sent at once or reported as
@@ -17,7 +17,7 @@
         &mut self,
         now: Timestamp,
         renewals_only: bool,
-        lateness: &LatenessWatch,
+        lateness: &LateOrderDetector,
     ) -> Vec<RangeOrder> {
         if self.map.late != lateness.is_late(now) {
             // Written down, so that a successor reckons with it.
@@ -62,7 +62,7 @@
 struct OrderLook<'a> {
     now: Timestamp,
     /// Whether unanswered orders may still be carried out.
-    lateness: &'a LatenessWatch,
+    lateness: &'a LateOrderDetector,
     renewals_only: bool,
     /// Edit of the map that the store is known to hold.
     committed: u64,
--- a/crates/nickellead_range/src/lateness.rs
+++ b/crates/nickellead_range/src/late_orders.rs
@@ -31,7 +31,7 @@
 
 /// What one process knows of late orders; it outlives the keepers that the process makes.
 #[derive(Clone, Debug, Default)]
-pub struct LatenessWatch {
+pub struct LateOrderDetector {
     /// Targets whose last grant was silent.
     silent: BTreeSet<String>,
     /// Grants that were answered or met silence, by time.
@@ -45,7 +45,7 @@
     late_targets: BTreeMap<String, Timestamp>,
 }
 
-impl LatenessWatch {
+impl LateOrderDetector {
     /// Whether any target may still carry out an order that it left unanswered.
     #[must_use]
     pub fn is_late(&self, now: Timestamp) -> bool {
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -10,7 +10,7 @@
 mod change;
 mod controller;
 mod found;
-mod lateness;
+mod late_orders;
 mod load;
 mod mandate;
 mod map;
@@ -22,7 +22,7 @@
 pub use change::{MapChange, MapChangeError};
 pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
 pub use found::{InheritedMap, WriteFate, judge_write};
-pub use lateness::LatenessWatch;
+pub use late_orders::LateOrderDetector;
 pub use load::KeyLoad;
 pub use mandate::{
     MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandatePower, MandateState,
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -7,7 +7,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    InheritedMap, LastOrder, LatenessWatch, OrderOutcome, OwnerCandidate, PredecessorBounds,
+    InheritedMap, LastOrder, LateOrderDetector, OrderOutcome, OwnerCandidate, PredecessorBounds,
     RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
 use world::{SERVICE, holder, settings};
@@ -26,14 +26,14 @@
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
 struct LostTarget {
     keeper: RangeController,
-    lateness: LatenessWatch,
+    lateness: LateOrderDetector,
     lost: Timestamp,
     unlisted: Timestamp,
 }
 
 impl LostTarget {
     fn new(lost: Timestamp, unlisted: Timestamp) -> Self {
-        let mut lateness = LatenessWatch::default();
+        let mut lateness = LateOrderDetector::default();
         let keeper = RangeController::take_over(
             settings(),
             NO_PREDECESSORS,
--- a/crates/nickellead_range/tests/lateness.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -6,7 +6,7 @@
 use nickellead_core::Timestamp;
 
 use nickellead_range::{
-    InheritedMap, LastOrder, LatenessWatch, OrderKind, OrderOutcome, OwnerCandidate,
+    InheritedMap, LastOrder, LateOrderDetector, OrderKind, OrderOutcome, OwnerCandidate,
     PredecessorBounds, RangeController, RangeOrder,
 };
 use world::{SERVICE, holder, settings};
@@ -16,8 +16,8 @@
     PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
 
 /// A keeper whose two targets have confirmed their grants at 10,000 ms.
-fn settled_keeper() -> (RangeController, LatenessWatch) {
-    let mut lateness = LatenessWatch::default();
+fn settled_keeper() -> (RangeController, LateOrderDetector) {
+    let mut lateness = LateOrderDetector::default();
     let candidates: Vec<OwnerCandidate> = (0..2)
         .map(|place| OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None })
         .collect();
@@ -80,7 +80,7 @@
 ///
 /// `outcome` gives what becomes of a round's order to a target.
 fn verdict(targets: u32, rounds: u64, outcome: impl Fn(u32, u64) -> OrderOutcome) -> bool {
-    let mut lateness = LatenessWatch::default();
+    let mut lateness = LateOrderDetector::default();
     for round in 0..rounds {
         let now = Timestamp(10_000 + round * 1_000);
         for place in 0..targets {
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    InheritedMap, LatenessWatch, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
+    InheritedMap, LateOrderDetector, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
     MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored, WriteFate,
     judge_write,
 };
@@ -26,7 +26,7 @@
     keeper: Option<RangeController>,
     /// Whether the mandate allowed nothing at the last step.
     paused: bool,
-    lateness: LatenessWatch,
+    lateness: LateOrderDetector,
     map_revision: Option<Revision>,
     /// The newest map that it was told.
     told: Option<Stored<RangeMap>>,
@@ -48,7 +48,7 @@
             mandate_due: 0,
             keeper: None,
             paused: false,
-            lateness: LatenessWatch::default(),
+            lateness: LateOrderDetector::default(),
             map_revision: None,
             told: None,
             read_back_at: None,
