--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{RangeController, RangeMap, WriteFate, judge_write};
+use nickellead_range::{RangeController, RangeMap, WriteOutcome, judge_write};
 
 use super::ControlDuty;
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
@@ -61,16 +61,16 @@
             return self.note_write_failed();
         };
         match judge_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
-            WriteFate::Done { revision, edit } => {
+            WriteOutcome::Done { revision, edit } => {
                 if let Some(found) = found {
                     self.note_map_written(revision, found.value, edit);
                 }
             }
-            WriteFate::Superseded => {
+            WriteOutcome::Superseded => {
                 log_event(EventName::CoordinatorSuperseded, &[("reason", error)]);
                 self.keeper.replace(None);
             }
-            WriteFate::Undone(expected) => {
+            WriteOutcome::Undone(expected) => {
                 self.map_revision.set(expected);
                 self.note_write_failed();
             }
--- a/crates/nickellead_range/src/found.rs
+++ b/crates/nickellead_range/src/inherited_map.rs
@@ -4,7 +4,7 @@
 
 /// What became of a keeper's write that got no good answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteFate {
+pub enum WriteOutcome {
     /// The store holds a map of this keeper, as of this revision and edit.
     Done {
         /// Revision of the map.
@@ -28,19 +28,19 @@
     era: StoreEra,
     writer: u64,
     expected: Option<Revision>,
-) -> WriteFate {
+) -> WriteOutcome {
     let Some(found) = found else {
-        return WriteFate::Undone(expected.filter(|expected| expected.era == era));
+        return WriteOutcome::Undone(expected.filter(|expected| expected.era == era));
     };
     let (revision, edit) = (found.revision, found.value.edit);
     if found.is_of_copy() {
-        WriteFate::Undone(Some(revision))
+        WriteOutcome::Undone(Some(revision))
     } else if found.value.writer == writer {
-        WriteFate::Done { revision, edit }
+        WriteOutcome::Done { revision, edit }
     } else if Some(revision) == expected {
-        WriteFate::Undone(expected)
+        WriteOutcome::Undone(expected)
     } else {
-        WriteFate::Superseded
+        WriteOutcome::Superseded
     }
 }
 
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -9,7 +9,7 @@
 
 mod change;
 mod controller;
-mod found;
+mod inherited_map;
 mod late_orders;
 mod load;
 mod mandate;
@@ -21,7 +21,7 @@
 
 pub use change::{MapChange, MapChangeError};
 pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
-pub use found::{InheritedMap, WriteFate, judge_write};
+pub use inherited_map::{InheritedMap, WriteOutcome, judge_write};
 pub use late_orders::LateOrderDetector;
 pub use load::KeyLoad;
 pub use mandate::{
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -5,8 +5,8 @@
 use nickellead_core::Timestamp;
 use nickellead_range::{
     InheritedMap, LateOrderDetector, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
-    MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored, WriteFate,
-    judge_write,
+    MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored,
+    WriteOutcome, judge_write,
 };
 
 use super::{BLOCK_KEYS, BLOCKS, SERVICE, World, settings};
@@ -257,15 +257,15 @@
     let vm = &mut world.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
     match judge_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
-        WriteFate::Done { revision, edit } => {
+        WriteOutcome::Done { revision, edit } => {
             vm.map_revision = Some(revision);
             keeper.note_written(edit);
             if let Some(found) = found {
                 world.tell_map(place, &found);
             }
         }
-        WriteFate::Superseded => vm.keeper = None,
-        WriteFate::Undone(expected) => {
+        WriteOutcome::Superseded => vm.keeper = None,
+        WriteOutcome::Undone(expected) => {
             vm.map_revision = expected;
             keeper.note_write_failed();
         }
