--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{MandatePower, OrderKind, OrderOutcome, RangeOrder, TargetInstance};
+use nickellead_range::{MandateAuthority, OrderKind, OrderOutcome, RangeOrder, TargetInstance};
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
@@ -20,9 +20,9 @@
 
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Sends the orders that are due, all at once, and takes in what becomes of each.
-    pub(super) fn send_orders(self: &Rc<Self>, power: MandatePower) {
+    pub(super) fn send_orders(self: &Rc<Self>, power: MandateAuthority) {
         let writer = self.keeper_writer();
-        let only = power == MandatePower::RenewalsOnly;
+        let only = power == MandateAuthority::RenewalsOnly;
         let orders = match self.keeper.borrow_mut().as_mut() {
             Some(keeper) => keeper.due_orders(BootClock.now(), only, &self.lateness.borrow()),
             None => return,
@@ -54,7 +54,7 @@
         let now = BootClock.now();
         let power = self.mandate.borrow().power(now);
         let stale = now.since(order.decided) > ORDER_AGE_MOST;
-        if power == MandatePower::None || stale {
+        if power == MandateAuthority::None || stale {
             return OrderOutcome::NotSent.into();
         }
         let wait = match order.kind {
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -5,7 +5,9 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{ControllerSettings, InheritedMap, MandatePower, RangeController, RangeMap};
+use nickellead_range::{
+    ControllerSettings, InheritedMap, MandateAuthority, RangeController, RangeMap,
+};
 use nickellead_time::BootClock;
 
 use super::{ControlDuty, draw_number};
@@ -46,8 +48,8 @@
         self.note_told_mandate(now);
         self.note_era(now);
         let power = self.mandate.borrow().power(now);
-        self.metrics.mandate.set(i64::from(power != MandatePower::None));
-        if power == MandatePower::None {
+        self.metrics.mandate.set(i64::from(power != MandateAuthority::None));
+        if power == MandateAuthority::None {
             // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
             // the keeper knows of holds stays true, and lost targets' keys need not wait anew.
             if !self.mandate.borrow().is_held() {
@@ -65,10 +67,10 @@
             self.keeper.replace(None);
         }
         let missing = self.keeper.borrow().is_none();
-        if missing && (power != MandatePower::Full || !self.load_keeper().await) {
+        if missing && (power != MandateAuthority::Full || !self.load_keeper().await) {
             return;
         }
-        if power == MandatePower::Full {
+        if power == MandateAuthority::Full {
             self.enter_era();
             self.take_in_leaving();
             self.update_candidates();
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -25,7 +25,7 @@
 pub use late_orders::LateOrderDetector;
 pub use load::KeyLoad;
 pub use mandate::{
-    MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandatePower, MandateState,
+    MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandateAuthority, MandateState,
     MandateWrite, RENEWAL_GRACE, RETURN_PRECEDENCE,
 };
 pub use map::{RangeMap, RangeRecord, ServiceRanges, TargetInstance};
--- a/crates/nickellead_range/src/mandate.rs
+++ b/crates/nickellead_range/src/mandate.rs
@@ -47,7 +47,7 @@
 
 /// What a VM may send to targets now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MandatePower {
+pub enum MandateAuthority {
     /// Nothing.
     None,
     /// Renewals of what stands.
@@ -161,15 +161,15 @@
 
     /// What this VM may send at this moment.
     #[must_use]
-    pub fn power(&self, now: Timestamp) -> MandatePower {
+    pub fn power(&self, now: Timestamp) -> MandateAuthority {
         if !self.held {
-            MandatePower::None
+            MandateAuthority::None
         } else if now < self.valid_until && now >= self.settled_at {
-            MandatePower::Full
+            MandateAuthority::Full
         } else if now < self.valid_until + RENEWAL_GRACE {
-            MandatePower::RenewalsOnly
+            MandateAuthority::RenewalsOnly
         } else {
-            MandatePower::None
+            MandateAuthority::None
         }
     }
 
--- a/crates/nickellead_range/tests/mandate_eras.rs
+++ b/crates/nickellead_range/tests/mandate_eras.rs
@@ -5,7 +5,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    MANDATE_MARGIN, MANDATE_TIME, MandatePower, MandateRecord, MandateState, RENEWAL_GRACE,
+    MANDATE_MARGIN, MANDATE_TIME, MandateAuthority, MandateRecord, MandateState, RENEWAL_GRACE,
     Revision, StoreEra, Stored,
 };
 
@@ -58,7 +58,7 @@
     assert_eq!((write.record.era, write.record.taken), (SECOND, 21));
     assert!(write.record.renewals > 21, "no renewal is counted twice");
     mandate.note_written(&write, Some(Revision::new(SECOND, 41)), back, back);
-    assert_eq!(mandate.power(back), MandatePower::Full);
+    assert_eq!(mandate.power(back), MandateAuthority::Full);
     assert_eq!(mandate.rival_until(), None);
 }
 
@@ -73,12 +73,12 @@
     let now = back + over;
     let write = mandate.due_write(now).unwrap();
     mandate.note_written(&write, Some(Revision::new(SECOND, 41)), now, now);
-    assert_eq!(mandate.power(now), MandatePower::RenewalsOnly);
+    assert_eq!(mandate.power(now), MandateAuthority::RenewalsOnly);
     let renewed = back + MANDATE_TIME;
     let write = mandate.due_write(renewed).unwrap();
     mandate.note_written(&write, Some(Revision::new(SECOND, 42)), renewed, renewed);
     let settled = back + MANDATE_TIME + MANDATE_MARGIN * 2;
-    assert_eq!(mandate.power(settled), MandatePower::Full);
+    assert_eq!(mandate.power(settled), MandateAuthority::Full);
     assert!(mandate.rival_until().unwrap() >= back + MANDATE_TIME + RENEWAL_GRACE);
 }
 
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    InheritedMap, LateOrderDetector, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
+    InheritedMap, LateOrderDetector, MANDATE_LOOK, MANDATE_RENEWAL, MandateAuthority, MandateState,
     MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored,
     WriteOutcome, judge_write,
 };
@@ -98,19 +98,19 @@
         vm.keeper = None;
     }
     outcomes.into_iter().for_each(|(order, outcome)| vm.note_outcome(&order, outcome, now));
-    let paused = std::mem::replace(&mut vm.paused, power == MandatePower::None);
-    if power == MandatePower::None {
+    let paused = std::mem::replace(&mut vm.paused, power == MandateAuthority::None);
+    if power == MandateAuthority::None {
         return;
     }
     if paused && let Some(keeper) = &mut vm.keeper {
         keeper.resume();
     }
-    if power == MandatePower::Full {
+    if power == MandateAuthority::Full {
         keep_map(world, place, now);
     }
     let vm = &mut world.vms[place];
     if let Some(keeper) = &mut vm.keeper {
-        let only = power == MandatePower::RenewalsOnly;
+        let only = power == MandateAuthority::RenewalsOnly;
         vm.pending.extend(keeper.due_orders(now, only, &vm.lateness));
     }
     // Most of the time orders leave at once; sometimes the VM stands still first.
@@ -123,7 +123,7 @@
     for order in std::mem::take(&mut world.vms[place].pending) {
         let power = world.vms[place].mandate.power(now);
         let stale = now.since(order.decided) > AGE_MOST;
-        let outcome = match power == MandatePower::None || stale {
+        let outcome = match power == MandateAuthority::None || stale {
             true => Some(OrderOutcome::NotSent),
             false => world.send_order(place, &order),
         };
