--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -14,10 +14,10 @@
 mod load;
 mod mandate;
 mod map;
-mod piece;
 mod plan;
 mod predecessors;
 mod stored;
+mod subrange;
 
 pub use change::{MapChange, MapChangeError};
 pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -1,6 +1,6 @@
 //! Which ranges should move where.
 
-use crate::piece::{PieceWanted, find_piece, weigh};
+use crate::subrange::{SubrangeRequest, find_subrange, weigh};
 use crate::{KeyLoad, RangeRecord, TargetInstance};
 
 /// A target that may own ranges.
@@ -130,10 +130,10 @@
     }
 
     /// How much load a move from `giver` should carry.
-    fn piece_wanted(&self, giver: usize, lightest: usize) -> PieceWanted {
+    fn subrange_request(&self, giver: usize, lightest: usize) -> SubrangeRequest {
         let excess = (self.relative[giver] - 1.0) * self.fair[giver];
         let room = (1.0 - self.relative[lightest]) * self.fair[lightest];
-        PieceWanted {
+        SubrangeRequest {
             load: excess.min(room),
             most: self.bearable(giver, RECEIVER_PART),
             lone_key: self.bearable(giver, LONE_KEY_PART),
@@ -202,8 +202,8 @@
     let lightest = loads.lightest()?;
     let givers = loads.givers(lightest);
     let (giver, first, last) = givers.into_iter().find_map(|giver| {
-        let wanted = loads.piece_wanted(giver, lightest);
-        let (first, last) = find_piece(ranges, load, &candidates[giver].holder, wanted)?;
+        let wanted = loads.subrange_request(giver, lightest);
+        let (first, last) = find_subrange(ranges, load, &candidates[giver].holder, wanted)?;
         Some((giver, first, last))
     })?;
     let receiver = loads.receiver(giver, weigh(load, first, last))?;
--- a/crates/nickellead_range/src/piece.rs
+++ b/crates/nickellead_range/src/subrange.rs
@@ -14,7 +14,7 @@
 
 /// How much load a move should carry.
 #[derive(Clone, Copy)]
-pub(crate) struct PieceWanted {
+pub(crate) struct SubrangeRequest {
     /// The best load.
     pub(crate) load: f64,
     /// The greatest load that still helps.
@@ -30,11 +30,11 @@
 }
 
 /// A piece of a target's keys, off its heaviest range that has a fitting one.
-pub(crate) fn find_piece(
+pub(crate) fn find_subrange(
     ranges: &[RangeRecord],
     load: &KeyLoad,
     from: &TargetInstance,
-    wanted: PieceWanted,
+    wanted: SubrangeRequest,
 ) -> Option<(u16, u16)> {
     let owned = |range: &&RangeRecord| range.settled && range.owner.as_ref() == Some(from);
     let mut sources: Vec<&RangeRecord> = ranges.iter().filter(owned).collect();
@@ -43,7 +43,7 @@
 }
 
 /// The run of keys at one end of a range whose load is nearest to the wanted one.
-fn cut_piece(source: &RangeRecord, load: &KeyLoad, wanted: PieceWanted) -> Option<(u16, u16)> {
+fn cut_piece(source: &RangeRecord, load: &KeyLoad, wanted: SubrangeRequest) -> Option<(u16, u16)> {
     if wanted.load <= 0.0 {
         return None;
     }
