--- a/crates/nickellead_range/src/change.rs
+++ b/crates/nickellead_range/src/change.rs
@@ -54,8 +54,8 @@
     late: bool,
     /// [`RangeMap::era`] of the new map.
     era: StoreEra,
-    /// [`RangeMap::doubtful`] of the new map.
-    doubtful: bool,
+    /// [`RangeMap::unconfirmed`] of the new map.
+    unconfirmed: bool,
     /// Services that the new map does not have any more.
     removed: Vec<String>,
     /// By service, the ranges that the old map does not have, in order of their keys.
@@ -76,7 +76,7 @@
             edit: to.edit,
             late: to.late,
             era: to.era,
-            doubtful: to.doubtful,
+            unconfirmed: to.unconfirmed,
             removed: removed_services(from, to),
             changed: changed_services(from, to),
         };
@@ -104,8 +104,8 @@
             }
             services.insert(service.clone(), ranges);
         }
-        let Self { fence, writer, edit, late, era, doubtful, .. } = *self;
-        Ok(RangeMap { fence, writer, edit, late, era, doubtful, services })
+        let Self { fence, writer, edit, late, era, unconfirmed, .. } = *self;
+        Ok(RangeMap { fence, writer, edit, late, era, unconfirmed, services })
     }
 
     /// Number of new ranges: how much it takes to tell the change.
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -84,12 +84,12 @@
     /// Whether it refused one since then: it has seen a fence that this keeper does not know.
     is_refused: bool,
     /// What the owner is renewed under until the range's own fence is in the store.
-    standing: Option<StandingFence>,
+    standing: Option<ConfirmedFence>,
 }
 
 /// A fence of an earlier keeper, under which an owner confirmed its grants.
 #[derive(Clone, Copy, Debug)]
-struct StandingFence {
+struct ConfirmedFence {
     fence: u64,
     /// Edit of the map that brings the range's own fence into the store.
     edit: u64,
@@ -114,12 +114,12 @@
     writing: bool,
     /// Until when predecessors that were not known to have stopped may still have effect.
     inherited_until: Timestamp,
-    doubt: MapDoubt,
+    doubt: UnconfirmedMap,
 }
 
-/// Until when targets may hold ranges that the map does not name them for: [`RangeMap::doubtful`].
+/// Until when targets may hold ranges that the map does not name them for: [`RangeMap::unconfirmed`].
 #[derive(Clone, Copy, Debug, Default)]
-struct MapDoubt {
+struct UnconfirmedMap {
     until: Timestamp,
     /// Whether the map is another keeper's, from an earlier era of the store: what its writer wrote after it may
     /// be lost. Else it is this keeper's own, and another one may have followed on it for a while: an owner
@@ -129,7 +129,7 @@
     lasts: bool,
 }
 
-impl MapDoubt {
+impl UnconfirmedMap {
     /// Whether nothing but renewals under fences that stand may be sent.
     fn renews_only(self) -> bool {
         self.is_foreign && self.lasts
@@ -163,7 +163,7 @@
         map.edit = 1;
         // One without services was never written, or its writer would have gone on with it.
         let is_new = map.services.is_empty();
-        map.doubtful |= map.enter_era(era) && !is_new;
+        map.unconfirmed |= map.enter_era(era) && !is_new;
         let mut keeper = Self {
             settings,
             map,
@@ -174,7 +174,7 @@
             committed: 0,
             writing: false,
             inherited_until: Timestamp::ZERO,
-            doubt: MapDoubt::default(),
+            doubt: UnconfirmedMap::default(),
         };
         let sent = |last: LastOrder| {
             if enforced!("successor_adds_grace") { last.latest(now) } else { now }
@@ -182,10 +182,10 @@
         let last_sent = sent(predecessors.last);
         let until = keeper.hold_bound(last_sent);
         let previous_until = keeper.hold_bound(sent(predecessors.earlier));
-        if keeper.map.doubtful && enforced!("lost_moves") {
+        if keeper.map.unconfirmed && enforced!("lost_moves") {
             let late = keeper.map.late || predecessors.lateness_unknown;
             let until = if late { until + settings.lateness } else { until };
-            keeper.doubt = MapDoubt { until, is_foreign: true, lasts: true };
+            keeper.doubt = UnconfirmedMap { until, is_foreign: true, lasts: true };
         }
         if last_sent > now {
             keeper.inherited_until = settings.longest_debt(last_sent);
@@ -218,7 +218,7 @@
             for range in ranges {
                 let work = self.work.entry((service.clone(), range.first)).or_default();
                 match range.settled {
-                    true => work.standing = Some(StandingFence { fence: range.fence, edit }),
+                    true => work.standing = Some(ConfirmedFence { fence: range.fence, edit }),
                     false => work.edit = edit,
                 }
             }
@@ -227,7 +227,7 @@
 
     /// Ends the doubt about the map: what holds its ranges now are those whom it names.
     fn end_doubt(&mut self) {
-        self.map.doubtful = false;
+        self.map.unconfirmed = false;
         self.next_edit();
         if self.doubt.is_foreign && enforced!("successor_freshens_fences") {
             self.freshen_fences();
@@ -262,7 +262,7 @@
                     true => {
                         // The fence of an earlier call may not have been confirmed yet.
                         let fence = work.standing.map_or(range.fence, |standing| standing.fence);
-                        work.standing = Some(StandingFence { fence, edit });
+                        work.standing = Some(ConfirmedFence { fence, edit });
                     }
                     false => work.edit = edit,
                 }
@@ -314,7 +314,7 @@
         self.next_edit();
         let Some(rival_until) = rival_until.filter(|_| enforced!("rival_moves")) else { return };
         self.doubt.until = self.doubt.until.max(self.hold_bound(rival_until));
-        self.map.doubtful = true;
+        self.map.unconfirmed = true;
         self.doubt.lasts = true;
         self.work.values_mut().for_each(|work| work.is_doubted = true);
         self.hold_back_moves();
--- a/crates/nickellead_range/src/controller/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{MapDoubt, OrderKind, RangeController, RangeOrder, RangeWork, StandingFence};
+use super::{ConfirmedFence, OrderKind, RangeController, RangeOrder, RangeWork, UnconfirmedMap};
 use crate::{LateOrderDetector, RangeRecord, TargetInstance};
 
 impl RangeController {
@@ -25,7 +25,7 @@
             self.next_edit();
         }
         self.doubt.lasts = now < self.doubt.until;
-        if self.map.doubtful && !self.doubt.lasts {
+        if self.map.unconfirmed && !self.doubt.lasts {
             self.end_doubt();
         }
         let look = OrderLook {
@@ -68,7 +68,7 @@
     committed: u64,
     /// Latest end of a hold whose grant is sent now.
     bound: Timestamp,
-    doubt: MapDoubt,
+    doubt: UnconfirmedMap,
 }
 
 impl OrderLook<'_> {
@@ -144,7 +144,7 @@
     }
 
     /// Whether the range's own fence may take the place of the standing one.
-    fn is_confirmed(&self, standing: &StandingFence) -> bool {
+    fn is_confirmed(&self, standing: &ConfirmedFence) -> bool {
         standing.edit <= self.committed && !self.doubt.renews_only()
     }
 
--- a/crates/nickellead_range/src/map.rs
+++ b/crates/nickellead_range/src/map.rs
@@ -69,8 +69,8 @@
     pub era: StoreEra,
     /// Whether other targets than those that it names may hold its ranges, as what was written before it is
     /// lost with an earlier era: a successor reckons with it as well.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub doubtful: bool,
+    #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "doubtful")]
+    pub unconfirmed: bool,
     /// The ranges by service.
     pub services: BTreeMap<String, ServiceRanges>,
 }
