--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -131,7 +131,7 @@
             }
             let load = loads.get(&service).unwrap_or(&empty);
             keeper.set_candidates(&service, &candidates, |ranges, _, _| {
-                nickellead_range::lightest_owner(ranges, &candidates, load)
+                nickellead_range::least_loaded_owner(ranges, &candidates, load)
             });
         }
     }
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -6,7 +6,7 @@
 
 use nickellead_core::Timestamp;
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{MANDATE_LOOK, MANDATE_RENEWAL};
+use nickellead_range::{MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL};
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
@@ -31,9 +31,9 @@
 const AWAY_LOOK: Duration = Duration::from_millis(2_000);
 /// Between two looks of a VM that follows another whether the mandate has run out.
 const FREE_LOOK: Duration = Duration::from_millis(100);
-/// Shortest time between two looks at the mandate, as a part of [`MANDATE_LOOK`].
+/// Shortest time between two looks at the mandate, as a part of [`MANDATE_POLL_INTERVAL`].
 const LOOK_LEAST: f64 = 0.8;
-/// Looks of many VMs are spread over this part of [`MANDATE_LOOK`], so that their mean is kept.
+/// Looks of many VMs are spread over this part of [`MANDATE_POLL_INTERVAL`], so that their mean is kept.
 const LOOK_SPREAD: f64 = 0.4;
 
 /// Takes, renews and watches the mandate.
@@ -43,7 +43,7 @@
     loop {
         if duty.mandate.borrow().is_held() {
             duty.write_mandate().await;
-            duty.probe_store(MANDATE_RENEWAL).await;
+            duty.probe_store(MANDATE_RENEWAL_INTERVAL).await;
             continue;
         }
         let Ok(holder) = duty.read_mandate().await else {
@@ -71,7 +71,7 @@
         }
         duty.end_seeking(started);
         let spread = LOOK_LEAST + fastrand::f64() * LOOK_SPREAD;
-        tokio::time::sleep(MANDATE_LOOK.mul_f64(spread)).await;
+        tokio::time::sleep(MANDATE_POLL_INTERVAL.mul_f64(spread)).await;
     }
 }
 
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{RangeController, RangeMap, WriteOutcome, judge_write};
+use nickellead_range::{RangeController, RangeMap, WriteOutcome, classify_write};
 
 use super::ControlDuty;
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
@@ -60,7 +60,7 @@
         let Ok(Snapshot { as_of, value: found }) = read else {
             return self.note_write_failed();
         };
-        match judge_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
+        match classify_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
             WriteOutcome::Done { revision, edit } => {
                 if let Some(found) = found {
                     self.note_map_written(revision, found.value, edit);
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -36,7 +36,7 @@
                 }
                 let outcome = reply.outcome;
                 let now = BootClock.now();
-                let longest = keeper_settings(&duty.ownership).longest_debt(now);
+                let longest = keeper_settings(&duty.ownership).late_lease_bound(now);
                 duty.lateness.borrow_mut().note(&order, &outcome, now, longest);
                 if duty.keeper_writer() != writer {
                     // The keeper made meanwhile reckons with every order sent before it.
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -46,7 +46,7 @@
 
     /// Latest end of a hold by an order that was sent until `now` and is carried out late.
     #[must_use]
-    pub fn longest_debt(&self, now: Timestamp) -> Timestamp {
+    pub fn late_lease_bound(&self, now: Timestamp) -> Timestamp {
         self.hold_bound(now) + self.lateness
     }
 }
@@ -188,7 +188,7 @@
             keeper.doubt = UnconfirmedMap { until, is_foreign: true, lasts: true };
         }
         if last_sent > now {
-            keeper.inherited_until = settings.longest_debt(last_sent);
+            keeper.inherited_until = settings.late_lease_bound(last_sent);
         }
         if keeper.map.late || predecessors.lateness_unknown {
             lateness.expect_until(until + settings.lateness);
--- a/crates/nickellead_range/src/inherited_map.rs
+++ b/crates/nickellead_range/src/inherited_map.rs
@@ -23,7 +23,7 @@
 /// `expected` is the revision that the write named. A map that a copy brought back, or that a late write
 /// of an earlier era made, supersedes nobody: who holds the mandate of this era writes over it.
 #[must_use]
-pub fn judge_write(
+pub fn classify_write(
     found: Option<&Stored<RangeMap>>,
     era: StoreEra,
     writer: u64,
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -21,14 +21,14 @@
 
 pub use change::{MapChange, MapChangeError};
 pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
-pub use inherited_map::{InheritedMap, WriteOutcome, judge_write};
+pub use inherited_map::{InheritedMap, WriteOutcome, classify_write};
 pub use late_orders::LateOrderDetector;
 pub use load::KeyLoad;
 pub use mandate::{
-    MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandateAuthority, MandateState,
-    MandateWrite, RENEWAL_GRACE, RETURN_PRECEDENCE,
+    MANDATE_EXPIRY_MARGIN, MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL, MANDATE_TTL,
+    MandateAuthority, MandateState, MandateWrite, POST_OUTAGE_TAKEOVER_DELAY, RENEWAL_GRACE,
 };
 pub use map::{RangeMap, RangeRecord, ServiceRanges, TargetInstance};
-pub use plan::{MoveProposal, OwnerCandidate, lightest_owner, plan_moves};
+pub use plan::{MoveProposal, OwnerCandidate, least_loaded_owner, plan_moves};
 pub use predecessors::{LastOrder, PredecessorBounds};
 pub use stored::{MandateRecord, Revision, StoreEra, Stored};
--- a/crates/nickellead_range/src/mandate.rs
+++ b/crates/nickellead_range/src/mandate.rs
@@ -19,16 +19,16 @@
 use crate::{LastOrder, MandateRecord, PredecessorBounds, Revision, StoreEra, Stored};
 
 /// How long a mandate is valid after the write that renewed it was sent.
-pub const MANDATE_TIME: Duration = Duration::from_millis(2_200);
+pub const MANDATE_TTL: Duration = Duration::from_millis(2_200);
 /// Bound on the difference of clock rates between VMs: their clocks are ordinary ones, and 1% is far
 /// above what any working one shows.
 const CLOCK_DRIFT: DriftBound = DriftBound { parts_per_million: 10_000 };
 /// Between two renewals.
-pub const MANDATE_RENEWAL: Duration = Duration::from_millis(700);
+pub const MANDATE_RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
 /// Clocks may differ in rate; waited beyond the mandate's time by those who want it.
-pub const MANDATE_MARGIN: Duration = Duration::from_millis(100);
+pub const MANDATE_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 /// Between two looks of a VM that does not hold it.
-pub const MANDATE_LOOK: Duration = Duration::from_millis(500);
+pub const MANDATE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a VM whose mandate ran out may renew what stands, as long as it saw no successor.
 ///
 /// With the mandate's time before and a hold after it, keys outlive an outage of the store of eleven
@@ -39,11 +39,11 @@
 /// the store was away.
 ///
 /// The holder tries again each 0.7 s. It alone knows what its orders came to meanwhile.
-pub const RETURN_PRECEDENCE: Duration = Duration::from_millis(800);
+pub const POST_OUTAGE_TAKEOVER_DELAY: Duration = Duration::from_millis(800);
 
 /// How much longer a VM waits for the mandate that knows nothing of the time before the store came back from a
 /// copy: longer than weak VMs do.
-const NEWCOMER_WAIT: Duration = Duration::from_millis(2_000);
+const NEWCOMER_TAKEOVER_DELAY: Duration = Duration::from_millis(2_000);
 
 /// What a VM may send to targets now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -263,7 +263,7 @@
         let Some((before, since)) = &self.seen else { return false };
         let goes_on = before.value.taken == read.value.taken || before.value.vacant;
         let same_era = before.revision.era == read.revision.era;
-        goes_on && same_era && now.since(*since) <= MANDATE_TIME
+        goes_on && same_era && now.since(*since) <= MANDATE_TTL
     }
 
     fn is_mine(&self, record: &MandateRecord) -> bool {
@@ -301,7 +301,7 @@
 
     /// Whether a VM that never saw the object may make it: in a later era a copy may have lost it.
     fn may_make(&self, absent_since: Timestamp, now: Timestamp) -> bool {
-        let waited = MANDATE_TIME + MANDATE_MARGIN + self.extra_wait;
+        let waited = MANDATE_TTL + MANDATE_EXPIRY_MARGIN + self.extra_wait;
         self.era.may_be_first() || now.since(absent_since) >= waited
     }
 
@@ -335,12 +335,12 @@
         }
         // Who knows what the store lost goes before who does not.
         let newcomer = of_copy && self.first_era == Some(self.era);
-        let behind = if newcomer { NEWCOMER_WAIT } else { Duration::ZERO };
-        let waited = MANDATE_TIME + MANDATE_MARGIN + self.extra_wait + behind;
+        let behind = if newcomer { NEWCOMER_TAKEOVER_DELAY } else { Duration::ZERO };
+        let waited = MANDATE_TTL + MANDATE_EXPIRY_MARGIN + self.extra_wait + behind;
         let ran_out = now.since(since) >= waited || !enforced!("wait_for_mandate");
         // The last look that failed may lie further back than the store's return.
         let back = self.returned.or(self.unreached).filter(|_| self.was_unreached());
-        let yields = back.is_some_and(|back| now.since(back) < RETURN_PRECEDENCE);
+        let yields = back.is_some_and(|back| now.since(back) < POST_OUTAGE_TAKEOVER_DELAY);
         ran_out && !yields
     }
 
@@ -370,12 +370,12 @@
         // Giving the mandate back stops a VM, and so does its restart.
         let stopped = last.vacant || (last.vm == self.vm && last.incarnation != self.incarnation);
         let stopped = stopped && !of_copy;
-        let held = MANDATE_RENEWAL * (last.renewals.saturating_sub(last.taken)) as u32;
-        let earlier_over = held >= RENEWAL_GRACE + MANDATE_TIME && !of_copy;
+        let held = MANDATE_RENEWAL_INTERVAL * (last.renewals.saturating_sub(last.taken)) as u32;
+        let earlier_over = held >= RENEWAL_GRACE + MANDATE_TTL && !of_copy;
         // What stood in the store when this VM first saw it was sent before; powers that others count
         // from then may last a little longer by this VM's clock.
         let passed = now.since(*since);
-        let full = CLOCK_DRIFT.stretch(MANDATE_TIME) + MANDATE_MARGIN;
+        let full = CLOCK_DRIFT.stretch(MANDATE_TTL) + MANDATE_EXPIRY_MARGIN;
         let grace = CLOCK_DRIFT.stretch(RENEWAL_GRACE);
         // Those before the last one had lost their full power when it took the mandate.
         let earlier = match (earlier_over, stopped) {
@@ -401,7 +401,7 @@
                 lateness_unknown: false,
             };
         };
-        let power = CLOCK_DRIFT.stretch(MANDATE_TIME + RENEWAL_GRACE) + MANDATE_MARGIN;
+        let power = CLOCK_DRIFT.stretch(MANDATE_TTL + RENEWAL_GRACE) + MANDATE_EXPIRY_MARGIN;
         let last = LastOrder::of_power(power, now.since(since));
         PredecessorBounds { last, earlier: last, lateness_unknown: true }
     }
@@ -454,15 +454,16 @@
             self.taken = write.record.taken;
         } else if sent >= self.valid_until && self.goes_on_in(revision.era) {
             // Another VM may have taken it before the store was away.
-            self.settled_at = self.era_since + CLOCK_DRIFT.stretch(MANDATE_TIME) + MANDATE_MARGIN;
+            self.settled_at =
+                self.era_since + CLOCK_DRIFT.stretch(MANDATE_TTL) + MANDATE_EXPIRY_MARGIN;
         }
         self.lost = false;
         self.renewals = self.renewals.max(write.record.renewals);
         let stored = Stored { revision, value: write.record.clone() };
         self.seen = Some((stored, now));
-        self.valid_until = sent + MANDATE_TIME;
+        self.valid_until = sent + MANDATE_TTL;
         if !enforced!("mandate_ends") {
-            self.valid_until = sent + MANDATE_TIME * 1_000;
+            self.valid_until = sent + MANDATE_TTL * 1_000;
         }
         !std::mem::replace(&mut self.held, true)
     }
--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -71,7 +71,7 @@
 
 /// The candidate with the least load beside its capacity.
 #[must_use]
-pub fn lightest_owner(
+pub fn least_loaded_owner(
     ranges: &[RangeRecord],
     candidates: &[OwnerCandidate],
     load: &KeyLoad,
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -107,7 +107,7 @@
         assert!(now < Timestamp(30_000), "the keys never got an owner");
     };
     assert!(last_renewal < lost);
-    let bound = settings().longest_debt(last_renewal).since(last_renewal) - settings().lateness;
+    let bound = settings().late_lease_bound(last_renewal).since(last_renewal) - settings().lateness;
     let waited = freed.since(last_renewal);
     assert!(waited >= bound, "a hold must lapse: {waited:?}");
     assert!(waited <= bound + LOOK * 4, "{waited:?} after the last grant that was sent");
@@ -147,6 +147,6 @@
         world.step(now);
         assert!(now < Timestamp(60_000), "the keys never got an owner");
     }
-    let bound = settings().longest_debt(taken + RENEWAL_GRACE);
+    let bound = settings().late_lease_bound(taken + RENEWAL_GRACE);
     assert!(now >= bound, "free at {now:?}, predecessors may have effect until {bound:?}");
 }
--- a/crates/nickellead_range/tests/late_orders.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -45,13 +45,13 @@
     let now = Timestamp(11_300);
     let orders = keeper.due_orders(now, false, &lateness);
     for (order, outcome) in orders.iter().zip(outcomes) {
-        lateness.note(order, &outcome, now, settings().longest_debt(now));
+        lateness.note(order, &outcome, now, settings().late_lease_bound(now));
         keeper.note_outcome(order, outcome, now);
     }
     let now = Timestamp(12_600);
     for order in keeper.due_orders(now, false, &lateness) {
         let outcome = OrderOutcome::Done(None);
-        lateness.note(&order, &outcome, now, settings().longest_debt(now));
+        lateness.note(&order, &outcome, now, settings().late_lease_bound(now));
         keeper.note_outcome(&order, outcome, now);
     }
     keeper.due_orders(now, false, &lateness);
@@ -93,7 +93,7 @@
                 kind: OrderKind::Grant(None),
                 decided: now,
             };
-            lateness.note(&order, &outcome(place, round), now, settings().longest_debt(now));
+            lateness.note(&order, &outcome(place, round), now, settings().late_lease_bound(now));
         }
     }
     lateness.is_late(Timestamp(10_000 + rounds * 1_000))
--- a/crates/nickellead_range/tests/mandate.rs
+++ b/crates/nickellead_range/tests/mandate.rs
@@ -5,8 +5,8 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    LastOrder, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandateRecord, MandateState,
-    RENEWAL_GRACE, RETURN_PRECEDENCE, Revision, StoreEra, Stored,
+    LastOrder, MANDATE_EXPIRY_MARGIN, MANDATE_RENEWAL_INTERVAL, MANDATE_TTL, MandateRecord,
+    MandateState, POST_OUTAGE_TAKEOVER_DELAY, RENEWAL_GRACE, Revision, StoreEra, Stored,
 };
 
 fn record(vm: &str, vacant: bool) -> Stored<MandateRecord> {
@@ -31,7 +31,7 @@
 
 /// A standby that saw the mandate renewed, and has seen it as it is at 1,000 ms.
 fn standby(seen: Stored<MandateRecord>) -> MandateState {
-    standby_since(seen, Timestamp(1_000), MANDATE_RENEWAL)
+    standby_since(seen, Timestamp(1_000), MANDATE_RENEWAL_INTERVAL)
 }
 
 /// The same, `gap` after the renewal before.
@@ -54,12 +54,12 @@
 #[test]
 fn after_an_outage_the_last_holder_goes_first() {
     let mut mandate = standby(record("vm-1", false));
-    let ran_out = Timestamp(1_000) + MANDATE_TIME + MANDATE_MARGIN;
+    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     assert!(mandate.due_write(ran_out).is_some(), "without an outage it is free at once");
     let away = Timestamp(9_000);
     mandate.note_unreached(away);
     assert!(mandate.due_write(away + Duration::from_millis(100)).is_none());
-    assert!(mandate.due_write(away + RETURN_PRECEDENCE).is_some());
+    assert!(mandate.due_write(away + POST_OUTAGE_TAKEOVER_DELAY).is_some());
 }
 
 /// A standby that looked a second before the store's return and then again took the mandate from a
@@ -68,10 +68,10 @@
 fn precedence_counts_from_the_return_of_the_store() {
     let mut mandate = standby(record("vm-1", false));
     mandate.note_unreached(Timestamp(9_000));
-    let returned = Timestamp(9_000) + RETURN_PRECEDENCE * 2;
+    let returned = Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY * 2;
     mandate.note_reached(returned);
     assert!(mandate.due_write(returned).is_none());
-    let later = returned + RETURN_PRECEDENCE;
+    let later = returned + POST_OUTAGE_TAKEOVER_DELAY;
     mandate.note_reached(later);
     assert!(mandate.due_write(later).is_some(), "it counts from the first answer");
 }
@@ -80,7 +80,7 @@
 fn a_successor_reckons_with_late_orders_that_could_not_be_written_down() {
     let mut mandate = standby(record("vm-1", false));
     mandate.note_unreached(Timestamp(9_000));
-    take(&mut mandate, Timestamp(9_000) + RETURN_PRECEDENCE);
+    take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
     assert!(mandate.predecessors().lateness_unknown);
 }
 
@@ -89,17 +89,17 @@
 #[test]
 fn what_a_holder_may_still_renew_ends_with_its_power() {
     let mut mandate = standby(record("vm-1", false));
-    let ran_out = Timestamp(1_000) + MANDATE_TIME + MANDATE_MARGIN;
+    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     take(&mut mandate, ran_out);
     let LastOrder::After(left) = mandate.predecessors().last else { panic!("its grace goes on") };
-    assert!(left >= RENEWAL_GRACE && left < RENEWAL_GRACE + MANDATE_MARGIN, "{left:?}");
+    assert!(left >= RENEWAL_GRACE && left < RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN, "{left:?}");
     let mut mandate = standby(record("vm-1", false));
     mandate.note_unreached(Timestamp(9_000));
-    take(&mut mandate, Timestamp(9_000) + RETURN_PRECEDENCE);
-    let passed = Duration::from_millis(8_000) + RETURN_PRECEDENCE;
+    take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
+    let passed = Duration::from_millis(8_000) + POST_OUTAGE_TAKEOVER_DELAY;
     let LastOrder::Before(over) = mandate.predecessors().last else { panic!("its grace is over") };
-    assert!(over <= passed - MANDATE_TIME - RENEWAL_GRACE, "{over:?}");
-    assert!(over >= passed - (MANDATE_TIME + RENEWAL_GRACE + MANDATE_MARGIN * 2), "{over:?}");
+    assert!(over <= passed - MANDATE_TTL - RENEWAL_GRACE, "{over:?}");
+    assert!(over >= passed - (MANDATE_TTL + RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN * 2), "{over:?}");
 }
 
 /// A keeper made anew, while the mandate is still held, follows on orders of this very VM.
@@ -107,7 +107,7 @@
 fn a_second_keeper_reckons_with_the_orders_of_the_first() {
     let mut mandate = standby(record("vm-1", false));
     mandate.note_unreached(Timestamp(9_000));
-    take(&mut mandate, Timestamp(9_000) + RETURN_PRECEDENCE);
+    take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
     assert!(matches!(mandate.take_predecessors().last, LastOrder::Before(_)));
     assert_eq!(mandate.take_predecessors().last, LastOrder::NOW);
     assert_eq!(mandate.predecessors().earlier, LastOrder::NOW);
@@ -115,13 +115,13 @@
 
 #[test]
 fn without_an_outage_or_after_a_hand_over_it_does_not() {
-    let ran_out = Timestamp(1_000) + MANDATE_TIME + MANDATE_MARGIN;
+    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     let mut mandate = standby(record("vm-1", false));
     take(&mut mandate, ran_out);
     assert!(!mandate.predecessors().lateness_unknown);
     let mut mandate = standby(record("vm-1", true));
     mandate.note_unreached(Timestamp(9_000));
-    take(&mut mandate, Timestamp(9_000) + RETURN_PRECEDENCE);
+    take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
     assert!(!mandate.predecessors().lateness_unknown);
 }
 
@@ -133,7 +133,7 @@
     for vm in ["vm-1", "vm-2"] {
         let mut mandate = started(vm);
         mandate.note_read(Some(record("vm-1", false)), Timestamp(1_000));
-        take(&mut mandate, Timestamp(1_000) + MANDATE_TIME + MANDATE_MARGIN);
+        take(&mut mandate, Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN);
         assert!(mandate.predecessors().lateness_unknown, "{vm}");
     }
 }
@@ -143,8 +143,8 @@
 /// one that could write all the time.
 #[test]
 fn a_renewal_after_the_mandate_ran_out_may_leave_late_orders_untold() {
-    let ran_out = Timestamp(20_000) + MANDATE_TIME + MANDATE_MARGIN;
-    for (gap, unknown) in [(MANDATE_TIME, false), (MANDATE_TIME * 2, true)] {
+    let ran_out = Timestamp(20_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
+    for (gap, unknown) in [(MANDATE_TTL, false), (MANDATE_TTL * 2, true)] {
         let mut mandate = standby_since(record("vm-1", false), Timestamp(20_000), gap);
         take(&mut mandate, ran_out);
         assert_eq!(mandate.predecessors().lateness_unknown, unknown, "{gap:?}");
@@ -161,8 +161,8 @@
     next.value.renewals += 1;
     next.value.taken = next.value.renewals;
     mandate.note_read(Some(next), taken);
-    let write = mandate.due_write(taken + MANDATE_TIME + MANDATE_MARGIN).unwrap();
-    let now = taken + MANDATE_TIME + MANDATE_MARGIN;
+    let write = mandate.due_write(taken + MANDATE_TTL + MANDATE_EXPIRY_MARGIN).unwrap();
+    let now = taken + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     assert!(mandate.note_written(&write, Some(Revision::without_era(7)), now, now));
     assert!(mandate.predecessors().lateness_unknown);
 }
--- a/crates/nickellead_range/tests/mandate_eras.rs
+++ b/crates/nickellead_range/tests/mandate_eras.rs
@@ -5,8 +5,8 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    MANDATE_MARGIN, MANDATE_TIME, MandateAuthority, MandateRecord, MandateState, RENEWAL_GRACE,
-    Revision, StoreEra, Stored,
+    MANDATE_EXPIRY_MARGIN, MANDATE_TTL, MandateAuthority, MandateRecord, MandateState,
+    RENEWAL_GRACE, Revision, StoreEra, Stored,
 };
 
 const FIRST: StoreEra = StoreEra(1);
@@ -49,7 +49,7 @@
 #[test]
 fn a_holder_whose_power_lasts_goes_on_at_once() {
     let mut mandate = holder();
-    let back = TAKEN + MANDATE_TIME / 2;
+    let back = TAKEN + MANDATE_TTL / 2;
     mandate.note_era(SECOND, back);
     assert!(mandate.due_write(back).is_none(), "what it would write over is of an earlier era");
     assert!(!mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
@@ -67,25 +67,25 @@
 fn a_holder_whose_power_is_over_waits_and_only_renews_at_first() {
     let mut mandate = holder();
     let over = Duration::from_millis(1_000);
-    let back = TAKEN + MANDATE_TIME + over;
+    let back = TAKEN + MANDATE_TTL + over;
     assert!(!mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
     assert!(mandate.due_write(back + over / 2).is_none(), "one with more power left goes first");
     let now = back + over;
     let write = mandate.due_write(now).unwrap();
     mandate.note_written(&write, Some(Revision::new(SECOND, 41)), now, now);
     assert_eq!(mandate.power(now), MandateAuthority::RenewalsOnly);
-    let renewed = back + MANDATE_TIME;
+    let renewed = back + MANDATE_TTL;
     let write = mandate.due_write(renewed).unwrap();
     mandate.note_written(&write, Some(Revision::new(SECOND, 42)), renewed, renewed);
-    let settled = back + MANDATE_TIME + MANDATE_MARGIN * 2;
+    let settled = back + MANDATE_TTL + MANDATE_EXPIRY_MARGIN * 2;
     assert_eq!(mandate.power(settled), MandateAuthority::Full);
-    assert!(mandate.rival_until().unwrap() >= back + MANDATE_TIME + RENEWAL_GRACE);
+    assert!(mandate.rival_until().unwrap() >= back + MANDATE_TTL + RENEWAL_GRACE);
 }
 
 #[test]
 fn a_holder_whose_grace_is_over_is_none_any_more() {
     let mut mandate = holder();
-    let back = TAKEN + MANDATE_TIME + RENEWAL_GRACE;
+    let back = TAKEN + MANDATE_TTL + RENEWAL_GRACE;
     assert!(mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
     assert!(!mandate.is_held());
 }
@@ -96,7 +96,7 @@
     let mut mandate = holder();
     let mut later = of_other(SECOND, 60, 30);
     later.value.taken = 25;
-    assert!(mandate.note_read(Some(later), TAKEN + MANDATE_TIME / 2));
+    assert!(mandate.note_read(Some(later), TAKEN + MANDATE_TTL / 2));
 }
 
 /// Guards against: a copy says that the mandate was given back, or that a former life of this VM has it,
@@ -110,9 +110,9 @@
         let mut mandate = started("vm-1");
         mandate.note_era(FIRST, TAKEN);
         mandate.note_read(Some(found), TAKEN);
-        let soon = TAKEN + MANDATE_TIME;
+        let soon = TAKEN + MANDATE_TTL;
         assert!(mandate.due_write(soon).is_none(), "{vm} {vacant}");
-        let write = mandate.due_write(soon + MANDATE_MARGIN).unwrap();
+        let write = mandate.due_write(soon + MANDATE_EXPIRY_MARGIN).unwrap();
         mandate.note_written(&write, Some(Revision::new(SECOND, 41)), soon, soon);
         assert!(mandate.predecessors().lateness_unknown);
     }
@@ -129,7 +129,7 @@
             .map(|step| TAKEN + Duration::from_millis(100) * step)
             .find(|now| mandate.due_write(*now).is_some() || now.since(TAKEN) > LONG)
     };
-    assert!(takes_after(SECOND).unwrap() > takes_after(FIRST).unwrap() + MANDATE_TIME / 2);
+    assert!(takes_after(SECOND).unwrap() > takes_after(FIRST).unwrap() + MANDATE_TTL / 2);
 }
 
 /// Guards against: a mandate that a copy has lost is made anew at once beside its holder.
@@ -138,8 +138,8 @@
     let mut mandate = started("vm-1");
     mandate.note_era(SECOND, TAKEN);
     mandate.note_read(None, TAKEN);
-    assert!(mandate.due_write(TAKEN + MANDATE_TIME).is_none());
-    let now = TAKEN + MANDATE_TIME + MANDATE_MARGIN;
+    assert!(mandate.due_write(TAKEN + MANDATE_TTL).is_none());
+    let now = TAKEN + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     let write = mandate.due_write(now).unwrap();
     assert_eq!(write.expected, None);
     mandate.note_written(&write, Some(Revision::new(SECOND, 1)), now, now);
--- a/crates/nickellead_range/tests/plans.rs
+++ b/crates/nickellead_range/tests/plans.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use nickellead_range::{
-    KeyLoad, OwnerCandidate, RangeRecord, TargetInstance, lightest_owner, plan_moves,
+    KeyLoad, OwnerCandidate, RangeRecord, TargetInstance, least_loaded_owner, plan_moves,
 };
 
 fn holder(place: usize) -> TargetInstance {
@@ -67,7 +67,7 @@
     load.note(40_000, 30);
     let mut able = candidates(2);
     able[0].capacity = 4.0;
-    assert_eq!(lightest_owner(&ranges(2), &able, &load), Some(holder(0)));
+    assert_eq!(least_loaded_owner(&ranges(2), &able, &load), Some(holder(0)));
 }
 
 /// On the users' grown fleet every hot key is heavier than what a light target has room for, and
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -4,9 +4,9 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    InheritedMap, LateOrderDetector, MANDATE_LOOK, MANDATE_RENEWAL, MandateAuthority, MandateState,
-    MoveProposal, OrderOutcome, RangeController, RangeMap, RangeOrder, Revision, Stored,
-    WriteOutcome, judge_write,
+    InheritedMap, LateOrderDetector, MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL,
+    MandateAuthority, MandateState, MoveProposal, OrderOutcome, RangeController, RangeMap,
+    RangeOrder, Revision, Stored, WriteOutcome, classify_write,
 };
 
 use super::{BLOCK_KEYS, BLOCKS, SERVICE, World, settings};
@@ -59,7 +59,7 @@
 impl WorldVm {
     /// Takes in what became of an order.
     fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
-        self.lateness.note(order, &outcome, now, settings().longest_debt(now));
+        self.lateness.note(order, &outcome, now, settings().late_lease_bound(now));
         if let Some(keeper) = &mut self.keeper {
             keeper.note_outcome(order, outcome, now);
         }
@@ -138,7 +138,7 @@
         return;
     }
     let held = world.vms[place].mandate.is_held();
-    let pause = if held { MANDATE_RENEWAL } else { MANDATE_LOOK };
+    let pause = if held { MANDATE_RENEWAL_INTERVAL } else { MANDATE_POLL_INTERVAL };
     let spread = world.rng.u64(0..100);
     world.vms[place].mandate_due = world.now + pause.as_millis() as u64 + spread;
     if !held || world.vms[place].mandate.is_outdated() {
@@ -256,7 +256,7 @@
     let (found, era) = (world.store.map.clone(), world.store.era);
     let vm = &mut world.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
-    match judge_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
+    match classify_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
         WriteOutcome::Done { revision, edit } => {
             vm.map_revision = Some(revision);
             keeper.note_written(edit);
