--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{RangeKeeper, RangeMap, WriteFate, judge_write};
+use nickellead_range::{RangeController, RangeMap, WriteOutcome, classify_write};
 
 use super::ControlDuty;
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
@@ -11,7 +11,7 @@
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Writes the map if it changed.
     pub(super) fn write_map(self: &Rc<Self>) {
-        let write = self.keeper.borrow_mut().as_mut().and_then(RangeKeeper::take_write);
+        let write = self.keeper.borrow_mut().as_mut().and_then(RangeController::take_write);
         let Some((map, edit)) = write else { return };
         // The revision belongs to this keeper: one made before the write starts has another.
         let expected = self.map_revision.get();
@@ -60,17 +60,17 @@
         let Ok(Snapshot { as_of, value: found }) = read else {
             return self.note_write_failed();
         };
-        match judge_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
-            WriteFate::Done { revision, edit } => {
+        match classify_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
+            WriteOutcome::Done { revision, edit } => {
                 if let Some(found) = found {
                     self.note_map_written(revision, found.value, edit);
                 }
             }
-            WriteFate::Superseded => {
+            WriteOutcome::Superseded => {
                 log_event(EventName::CoordinatorSuperseded, &[("reason", error)]);
                 self.keeper.replace(None);
             }
-            WriteFate::Undone(expected) => {
+            WriteOutcome::Undone(expected) => {
                 self.map_revision.set(expected);
                 self.note_write_failed();
             }
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
-use nickellead_range::{HolderRecord, KeyLoad, LatenessWatch, MandateState, RangeKeeper};
+use nickellead_range::{KeyLoad, LateOrderDetector, MandateState, RangeController, TargetInstance};
 use tokio::sync::watch;
 
 use self::admission::TargetFigures;
@@ -84,7 +84,7 @@
     relay: Rc<NewsRelay>,
     mandate: RefCell<MandateState>,
     /// Stands while this VM holds the mandate, also when it ran out.
-    keeper: RefCell<Option<RangeKeeper>>,
+    keeper: RefCell<Option<RangeController>>,
     /// The store's era at the last look.
     era: Cell<StoreEra>,
     /// Whether the mandate allowed nothing at the last look.
@@ -102,13 +102,13 @@
     /// Number of the last word about crowded owners.
     admission_word: Cell<u64>,
     /// Limits that listed targets name.
-    limits: RefCell<BTreeMap<HolderRecord, HeardLimit>>,
+    limits: RefCell<BTreeMap<TargetInstance, HeardLimit>>,
     /// When a limit of a target was last told.
     limits_told: Cell<Timestamp>,
     /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
-    leaving: RefCell<BTreeSet<HolderRecord>>,
+    leaving: RefCell<BTreeSet<TargetInstance>>,
     /// What this process saw of late orders, over all its keepers.
-    lateness: RefCell<LatenessWatch>,
+    lateness: RefCell<LateOrderDetector>,
     /// Number of a service's targets, and since when it stands.
     arrivals: RefCell<HashMap<String, (usize, Timestamp)>>,
     /// What the request duty has counted since the last look.
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{HolderRecord, MandatePower, OrderKind, OrderOutcome, RangeOrder};
+use nickellead_range::{MandateAuthority, OrderKind, OrderOutcome, RangeOrder, TargetInstance};
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
@@ -20,9 +20,9 @@
 
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Sends the orders that are due, all at once, and takes in what becomes of each.
-    pub(super) fn send_orders(self: &Rc<Self>, power: MandatePower) {
+    pub(super) fn send_orders(self: &Rc<Self>, power: MandateAuthority) {
         let writer = self.keeper_writer();
-        let only = power == MandatePower::RenewalsOnly;
+        let only = power == MandateAuthority::RenewalsOnly;
         let orders = match self.keeper.borrow_mut().as_mut() {
             Some(keeper) => keeper.due_orders(BootClock.now(), only, &self.lateness.borrow()),
             None => return,
@@ -36,7 +36,7 @@
                 }
                 let outcome = reply.outcome;
                 let now = BootClock.now();
-                let longest = keeper_settings(&duty.ownership).longest_debt(now);
+                let longest = keeper_settings(&duty.ownership).late_lease_bound(now);
                 duty.lateness.borrow_mut().note(&order, &outcome, now, longest);
                 if duty.keeper_writer() != writer {
                     // The keeper made meanwhile reckons with every order sent before it.
@@ -54,7 +54,7 @@
         let now = BootClock.now();
         let power = self.mandate.borrow().power(now);
         let stale = now.since(order.decided) > ORDER_AGE_MOST;
-        if power == MandatePower::None || stale {
+        if power == MandateAuthority::None || stale {
             return OrderOutcome::NotSent.into();
         }
         let wait = match order.kind {
@@ -78,7 +78,7 @@
     }
 
     /// Notes a target that said that it leaves: it is to own no keys.
-    fn note_leaving(&self, holder: &HolderRecord, told_on: &str) {
+    fn note_leaving(&self, holder: &TargetInstance, told_on: &str) {
         if self.leaving.borrow_mut().insert(holder.clone()) {
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
                 [("target", &holder.id), ("told_on", &told_on)];
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -5,7 +5,9 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_event::{EventName, log_event};
-use nickellead_range::{InheritedMap, KeeperSettings, MandatePower, RangeKeeper, RangeMap};
+use nickellead_range::{
+    ControllerSettings, InheritedMap, MandateAuthority, RangeController, RangeMap,
+};
 use nickellead_time::BootClock;
 
 use super::{ControlDuty, draw_number};
@@ -46,8 +48,8 @@
         self.note_told_mandate(now);
         self.note_era(now);
         let power = self.mandate.borrow().power(now);
-        self.metrics.mandate.set(i64::from(power != MandatePower::None));
-        if power == MandatePower::None {
+        self.metrics.mandate.set(i64::from(power != MandateAuthority::None));
+        if power == MandateAuthority::None {
             // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
             // the keeper knows of holds stays true, and lost targets' keys need not wait anew.
             if !self.mandate.borrow().is_held() {
@@ -65,10 +67,10 @@
             self.keeper.replace(None);
         }
         let missing = self.keeper.borrow().is_none();
-        if missing && (power != MandatePower::Full || !self.load_keeper().await) {
+        if missing && (power != MandateAuthority::Full || !self.load_keeper().await) {
             return;
         }
-        if power == MandatePower::Full {
+        if power == MandateAuthority::Full {
             self.enter_era();
             self.take_in_leaving();
             self.update_candidates();
@@ -135,7 +137,7 @@
         let writer = draw_number();
         let lateness = &mut self.lateness.borrow_mut();
         let keeper =
-            RangeKeeper::take_over(settings, predecessors, inherited, writer, lateness, now);
+            RangeController::take_over(settings, predecessors, inherited, writer, lateness, now);
         self.keeper.replace(Some(keeper));
         log_event(EventName::CoordinatorLeading, &[("vm", &self.vm)]);
         true
@@ -143,8 +145,8 @@
 }
 
 /// The keeper's times on the users' platform.
-pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> KeeperSettings {
-    KeeperSettings {
+pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> ControllerSettings {
+    ControllerSettings {
         hold: ownership.hold(),
         renewal: ownership.renewal(),
         retry: ORDER_RETRY,
--- a/crates/nickellead_range/src/keeper/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -17,13 +17,13 @@
 
 pub use self::order::{OrderKind, OrderOutcome, RangeOrder};
 use crate::{
-    HolderRecord, InheritedMap, LastOrder, LatenessWatch, PredecessorBounds, RangeMap, RangeRecord,
-    StoreEra,
+    InheritedMap, LastOrder, LateOrderDetector, PredecessorBounds, RangeMap, RangeRecord, StoreEra,
+    TargetInstance,
 };
 
 /// Times of the keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperSettings {
+pub struct ControllerSettings {
     /// How long a target holds a range after a grant arrived.
     pub hold: Duration,
     /// Between two renewals of a grant.
@@ -38,7 +38,7 @@
     pub drift: DriftBound,
 }
 
-impl KeeperSettings {
+impl ControllerSettings {
     /// Latest end of a hold whose grant is sent at `sent`, by this VM's clock.
     fn hold_bound(&self, sent: Timestamp) -> Timestamp {
         sent + self.drift.stretch(self.hold) + self.margin
@@ -46,7 +46,7 @@
 
     /// Latest end of a hold by an order that was sent until `now` and is carried out late.
     #[must_use]
-    pub fn longest_debt(&self, now: Timestamp) -> Timestamp {
+    pub fn late_lease_bound(&self, now: Timestamp) -> Timestamp {
         self.hold_bound(now) + self.lateness
     }
 }
@@ -84,12 +84,12 @@
     /// Whether it refused one since then: it has seen a fence that this keeper does not know.
     is_refused: bool,
     /// What the owner is renewed under until the range's own fence is in the store.
-    standing: Option<StandingFence>,
+    standing: Option<ConfirmedFence>,
 }
 
 /// A fence of an earlier keeper, under which an owner confirmed its grants.
 #[derive(Clone, Copy, Debug)]
-struct StandingFence {
+struct ConfirmedFence {
     fence: u64,
     /// Edit of the map that brings the range's own fence into the store.
     edit: u64,
@@ -97,15 +97,15 @@
 
 /// Decides orders and writes for the VM that holds the mandate.
 #[derive(Clone, Debug)]
-pub struct RangeKeeper {
-    settings: KeeperSettings,
+pub struct RangeController {
+    settings: ControllerSettings,
     map: RangeMap,
     /// By service and first key of the range.
     work: BTreeMap<(String, u16), RangeWork>,
     /// Who may own ranges, by service.
-    candidates: BTreeMap<String, BTreeSet<HolderRecord>>,
+    candidates: BTreeMap<String, BTreeSet<TargetInstance>>,
     /// Lives of targets that are known to have ended.
-    ended: BTreeSet<HolderRecord>,
+    ended: BTreeSet<TargetInstance>,
     /// Number of the last edit of the map.
     edit: u64,
     /// Number of the last edit that is in the store.
@@ -114,12 +114,12 @@
     writing: bool,
     /// Until when predecessors that were not known to have stopped may still have effect.
     inherited_until: Timestamp,
-    doubt: MapDoubt,
+    doubt: UnconfirmedMap,
 }
 
-/// Until when targets may hold ranges that the map does not name them for: [`RangeMap::doubtful`].
+/// Until when targets may hold ranges that the map does not name them for: [`RangeMap::unconfirmed`].
 #[derive(Clone, Copy, Debug, Default)]
-struct MapDoubt {
+struct UnconfirmedMap {
     until: Timestamp,
     /// Whether the map is another keeper's, from an earlier era of the store: what its writer wrote after it may
     /// be lost. Else it is this keeper's own, and another one may have followed on it for a while: an owner
@@ -129,14 +129,14 @@
     lasts: bool,
 }
 
-impl MapDoubt {
+impl UnconfirmedMap {
     /// Whether nothing but renewals under fences that stand may be sent.
     fn renews_only(self) -> bool {
         self.is_foreign && self.lasts
     }
 }
 
-impl RangeKeeper {
+impl RangeController {
     /// Takes over what the store holds.
     ///
     /// A predecessor may go on renewing what stands for the grace time, so every holder named in
@@ -151,11 +151,11 @@
     /// that time are over; if this VM was not even told it, no renewals either.
     #[must_use]
     pub fn take_over(
-        settings: KeeperSettings,
+        settings: ControllerSettings,
         predecessors: PredecessorBounds,
         inherited: InheritedMap,
         writer: u64,
-        lateness: &mut LatenessWatch,
+        lateness: &mut LateOrderDetector,
         now: Timestamp,
     ) -> Self {
         let InheritedMap { mut map, era, is_stale } = inherited;
@@ -163,7 +163,7 @@
         map.edit = 1;
         // One without services was never written, or its writer would have gone on with it.
         let is_new = map.services.is_empty();
-        map.doubtful |= map.enter_era(era) && !is_new;
+        map.unconfirmed |= map.enter_era(era) && !is_new;
         let mut keeper = Self {
             settings,
             map,
@@ -174,7 +174,7 @@
             committed: 0,
             writing: false,
             inherited_until: Timestamp::ZERO,
-            doubt: MapDoubt::default(),
+            doubt: UnconfirmedMap::default(),
         };
         let sent = |last: LastOrder| {
             if enforced!("successor_adds_grace") { last.latest(now) } else { now }
@@ -182,13 +182,13 @@
         let last_sent = sent(predecessors.last);
         let until = keeper.hold_bound(last_sent);
         let previous_until = keeper.hold_bound(sent(predecessors.earlier));
-        if keeper.map.doubtful && enforced!("lost_moves") {
+        if keeper.map.unconfirmed && enforced!("lost_moves") {
             let late = keeper.map.late || predecessors.lateness_unknown;
             let until = if late { until + settings.lateness } else { until };
-            keeper.doubt = MapDoubt { until, is_foreign: true, lasts: true };
+            keeper.doubt = UnconfirmedMap { until, is_foreign: true, lasts: true };
         }
         if last_sent > now {
-            keeper.inherited_until = settings.longest_debt(last_sent);
+            keeper.inherited_until = settings.late_lease_bound(last_sent);
         }
         if keeper.map.late || predecessors.lateness_unknown {
             lateness.expect_until(until + settings.lateness);
@@ -218,7 +218,7 @@
             for range in ranges {
                 let work = self.work.entry((service.clone(), range.first)).or_default();
                 match range.settled {
-                    true => work.standing = Some(StandingFence { fence: range.fence, edit }),
+                    true => work.standing = Some(ConfirmedFence { fence: range.fence, edit }),
                     false => work.edit = edit,
                 }
             }
@@ -227,7 +227,7 @@
 
     /// Ends the doubt about the map: what holds its ranges now are those whom it names.
     fn end_doubt(&mut self) {
-        self.map.doubtful = false;
+        self.map.unconfirmed = false;
         self.next_edit();
         if self.doubt.is_foreign && enforced!("successor_freshens_fences") {
             self.freshen_fences();
@@ -262,7 +262,7 @@
                     true => {
                         // The fence of an earlier call may not have been confirmed yet.
                         let fence = work.standing.map_or(range.fence, |standing| standing.fence);
-                        work.standing = Some(StandingFence { fence, edit });
+                        work.standing = Some(ConfirmedFence { fence, edit });
                     }
                     false => work.edit = edit,
                 }
@@ -314,7 +314,7 @@
         self.next_edit();
         let Some(rival_until) = rival_until.filter(|_| enforced!("rival_moves")) else { return };
         self.doubt.until = self.doubt.until.max(self.hold_bound(rival_until));
-        self.map.doubtful = true;
+        self.map.unconfirmed = true;
         self.doubt.lasts = true;
         self.work.values_mut().for_each(|work| work.is_doubted = true);
         self.hold_back_moves();
--- a/crates/nickellead_range/src/keeper/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -4,10 +4,10 @@
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{MapDoubt, OrderKind, RangeKeeper, RangeOrder, RangeWork, StandingFence};
-use crate::{HolderRecord, LatenessWatch, RangeRecord};
+use super::{ConfirmedFence, OrderKind, RangeController, RangeOrder, RangeWork, UnconfirmedMap};
+use crate::{LateOrderDetector, RangeRecord, TargetInstance};
 
-impl RangeKeeper {
+impl RangeController {
     /// The orders that are due; each must be sent at once or reported as
     /// [`OrderOutcome::NotSent`](crate::OrderOutcome::NotSent).
     ///
@@ -17,7 +17,7 @@
         &mut self,
         now: Timestamp,
         renewals_only: bool,
-        lateness: &LatenessWatch,
+        lateness: &LateOrderDetector,
     ) -> Vec<RangeOrder> {
         if self.map.late != lateness.is_late(now) {
             // Written down, so that a successor reckons with it.
@@ -25,7 +25,7 @@
             self.next_edit();
         }
         self.doubt.lasts = now < self.doubt.until;
-        if self.map.doubtful && !self.doubt.lasts {
+        if self.map.unconfirmed && !self.doubt.lasts {
             self.end_doubt();
         }
         let look = OrderLook {
@@ -62,13 +62,13 @@
 struct OrderLook<'a> {
     now: Timestamp,
     /// Whether unanswered orders may still be carried out.
-    lateness: &'a LatenessWatch,
+    lateness: &'a LateOrderDetector,
     renewals_only: bool,
     /// Edit of the map that the store is known to hold.
     committed: u64,
     /// Latest end of a hold whose grant is sent now.
     bound: Timestamp,
-    doubt: MapDoubt,
+    doubt: UnconfirmedMap,
 }
 
 impl OrderLook<'_> {
@@ -90,7 +90,7 @@
         &self,
         range: &mut RangeRecord,
         work: &RangeWork,
-        ended: &BTreeSet<HolderRecord>,
+        ended: &BTreeSet<TargetInstance>,
     ) -> bool {
         let Some(previous) = &range.previous else { return false };
         let late = self.lateness.is_target_late(&previous.id, self.now);
@@ -118,7 +118,7 @@
         service: &str,
         range: &RangeRecord,
         work: &mut RangeWork,
-        holders: Option<&BTreeSet<HolderRecord>>,
+        holders: Option<&BTreeSet<TargetInstance>>,
     ) -> Option<RangeOrder> {
         if let Some(previous) = &range.previous
             && enforced!("release_first")
@@ -144,7 +144,7 @@
     }
 
     /// Whether the range's own fence may take the place of the standing one.
-    fn is_confirmed(&self, standing: &StandingFence) -> bool {
+    fn is_confirmed(&self, standing: &ConfirmedFence) -> bool {
         standing.edit <= self.committed && !self.doubt.renews_only()
     }
 
@@ -163,7 +163,7 @@
         service: &str,
         range: &RangeRecord,
         fence: u64,
-        holder: &HolderRecord,
+        holder: &TargetInstance,
         kind: OrderKind,
     ) -> RangeOrder {
         RangeOrder {
--- a/crates/nickellead_range/src/found.rs
+++ b/crates/nickellead_range/src/inherited_map.rs
@@ -4,7 +4,7 @@
 
 /// What became of a keeper's write that got no good answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteFate {
+pub enum WriteOutcome {
     /// The store holds a map of this keeper, as of this revision and edit.
     Done {
         /// Revision of the map.
@@ -23,24 +23,24 @@
 /// `expected` is the revision that the write named. A map that a copy brought back, or that a late write
 /// of an earlier era made, supersedes nobody: who holds the mandate of this era writes over it.
 #[must_use]
-pub fn judge_write(
+pub fn classify_write(
     found: Option<&Stored<RangeMap>>,
     era: StoreEra,
     writer: u64,
     expected: Option<Revision>,
-) -> WriteFate {
+) -> WriteOutcome {
     let Some(found) = found else {
-        return WriteFate::Undone(expected.filter(|expected| expected.era == era));
+        return WriteOutcome::Undone(expected.filter(|expected| expected.era == era));
     };
     let (revision, edit) = (found.revision, found.value.edit);
     if found.is_of_copy() {
-        WriteFate::Undone(Some(revision))
+        WriteOutcome::Undone(Some(revision))
     } else if found.value.writer == writer {
-        WriteFate::Done { revision, edit }
+        WriteOutcome::Done { revision, edit }
     } else if Some(revision) == expected {
-        WriteFate::Undone(expected)
+        WriteOutcome::Undone(expected)
     } else {
-        WriteFate::Superseded
+        WriteOutcome::Superseded
     }
 }
 
--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -3,32 +3,32 @@
 //! A target holds a range of a service's numeric key space for a hold time
 //! that starts when a grant arrives. It refuses a grant whose fence is lower
 //! than one it has seen. [`RangeMap`] is what the store keeps; the
-//! [`RangeKeeper`] decides every order and every write of the map. Its
+//! [`RangeController`] decides every order and every write of the map. Its
 //! functions take the time and what happened, and return what is to be done:
 //! nothing here does input or output or reads a clock.
 
 mod change;
-mod found;
-mod keeper;
-mod lateness;
+mod controller;
+mod inherited_map;
+mod late_orders;
 mod load;
 mod mandate;
 mod map;
-mod piece;
 mod plan;
 mod predecessors;
 mod stored;
+mod subrange;
 
 pub use change::{MapChange, MapChangeError};
-pub use found::{InheritedMap, WriteFate, judge_write};
-pub use keeper::{KeeperSettings, OrderKind, OrderOutcome, RangeKeeper, RangeOrder};
-pub use lateness::LatenessWatch;
+pub use controller::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder};
+pub use inherited_map::{InheritedMap, WriteOutcome, classify_write};
+pub use late_orders::LateOrderDetector;
 pub use load::KeyLoad;
 pub use mandate::{
-    MANDATE_LOOK, MANDATE_MARGIN, MANDATE_RENEWAL, MANDATE_TIME, MandatePower, MandateState,
-    MandateWrite, RENEWAL_GRACE, RETURN_PRECEDENCE,
+    MANDATE_EXPIRY_MARGIN, MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL, MANDATE_TTL,
+    MandateAuthority, MandateState, MandateWrite, POST_OUTAGE_TAKEOVER_DELAY, RENEWAL_GRACE,
 };
-pub use map::{HolderRecord, RangeMap, RangeRecord, ServiceRanges};
-pub use plan::{MoveProposal, OwnerCandidate, lightest_owner, plan_moves};
+pub use map::{RangeMap, RangeRecord, ServiceRanges, TargetInstance};
+pub use plan::{MoveProposal, OwnerCandidate, least_loaded_owner, plan_moves};
 pub use predecessors::{LastOrder, PredecessorBounds};
 pub use stored::{MandateRecord, Revision, StoreEra, Stored};
--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -1,13 +1,13 @@
 //! Which ranges should move where.
 
-use crate::piece::{PieceWanted, find_piece, weigh};
-use crate::{HolderRecord, KeyLoad, RangeRecord};
+use crate::subrange::{SubrangeRequest, find_subrange, weigh};
+use crate::{KeyLoad, RangeRecord, TargetInstance};
 
 /// A target that may own ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerCandidate {
     /// The target.
-    pub holder: HolderRecord,
+    pub holder: TargetInstance,
     /// What it can do beside the others, 1.0 for an ordinary one.
     pub capacity: f64,
     /// The load that it can bear at most, as load is counted; `None` for as much as its capacity says.
@@ -22,7 +22,7 @@
     /// Last key to move, included.
     pub last: u16,
     /// Who should own it.
-    pub to: HolderRecord,
+    pub to: TargetInstance,
 }
 
 /// A target is relieved when its load is this many times its fair share.
@@ -71,11 +71,11 @@
 
 /// The candidate with the least load beside its capacity.
 #[must_use]
-pub fn lightest_owner(
+pub fn least_loaded_owner(
     ranges: &[RangeRecord],
     candidates: &[OwnerCandidate],
     load: &KeyLoad,
-) -> Option<HolderRecord> {
+) -> Option<TargetInstance> {
     let loads = CandidateLoads::new(ranges, candidates, load);
     Some(candidates[loads.lightest()?].holder.clone())
 }
@@ -130,10 +130,10 @@
     }
 
     /// How much load a move from `giver` should carry.
-    fn piece_wanted(&self, giver: usize, lightest: usize) -> PieceWanted {
+    fn subrange_request(&self, giver: usize, lightest: usize) -> SubrangeRequest {
         let excess = (self.relative[giver] - 1.0) * self.fair[giver];
         let room = (1.0 - self.relative[lightest]) * self.fair[lightest];
-        PieceWanted {
+        SubrangeRequest {
             load: excess.min(room),
             most: self.bearable(giver, RECEIVER_PART),
             lone_key: self.bearable(giver, LONE_KEY_PART),
@@ -202,8 +202,8 @@
     let lightest = loads.lightest()?;
     let givers = loads.givers(lightest);
     let (giver, first, last) = givers.into_iter().find_map(|giver| {
-        let wanted = loads.piece_wanted(giver, lightest);
-        let (first, last) = find_piece(ranges, load, &candidates[giver].holder, wanted)?;
+        let wanted = loads.subrange_request(giver, lightest);
+        let (first, last) = find_subrange(ranges, load, &candidates[giver].holder, wanted)?;
         Some((giver, first, last))
     })?;
     let receiver = loads.receiver(giver, weigh(load, first, last))?;
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -7,8 +7,8 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    HolderRecord, InheritedMap, LastOrder, LatenessWatch, OrderOutcome, OwnerCandidate,
-    PredecessorBounds, RENEWAL_GRACE, RangeKeeper, RangeMap, RangeOrder,
+    InheritedMap, LastOrder, LateOrderDetector, OrderOutcome, OwnerCandidate, PredecessorBounds,
+    RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
 use world::{SERVICE, holder, settings};
 
@@ -25,16 +25,16 @@
 
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
 struct LostTarget {
-    keeper: RangeKeeper,
-    lateness: LatenessWatch,
+    keeper: RangeController,
+    lateness: LateOrderDetector,
     lost: Timestamp,
     unlisted: Timestamp,
 }
 
 impl LostTarget {
     fn new(lost: Timestamp, unlisted: Timestamp) -> Self {
-        let mut lateness = LatenessWatch::default();
-        let keeper = RangeKeeper::take_over(
+        let mut lateness = LateOrderDetector::default();
+        let keeper = RangeController::take_over(
             settings(),
             NO_PREDECESSORS,
             InheritedMap::default(),
@@ -82,7 +82,7 @@
     }
 }
 
-fn lost_holder() -> HolderRecord {
+fn lost_holder() -> TargetInstance {
     holder(1, 1)
 }
 
@@ -107,7 +107,7 @@
         assert!(now < Timestamp(30_000), "the keys never got an owner");
     };
     assert!(last_renewal < lost);
-    let bound = settings().longest_debt(last_renewal).since(last_renewal) - settings().lateness;
+    let bound = settings().late_lease_bound(last_renewal).since(last_renewal) - settings().lateness;
     let waited = freed.since(last_renewal);
     assert!(waited >= bound, "a hold must lapse: {waited:?}");
     assert!(waited <= bound + LOOK * 4, "{waited:?} after the last grant that was sent");
@@ -124,7 +124,7 @@
     let last = LastOrder::After(RENEWAL_GRACE);
     let predecessors = PredecessorBounds { last, ..NO_PREDECESSORS };
     let mut world = LostTarget::new(taken, taken + LOOK * 3);
-    world.keeper = RangeKeeper::take_over(
+    world.keeper = RangeController::take_over(
         settings(),
         predecessors,
         InheritedMap { map: before, ..InheritedMap::default() },
@@ -147,6 +147,6 @@
         world.step(now);
         assert!(now < Timestamp(60_000), "the keys never got an owner");
     }
-    let bound = settings().longest_debt(taken + RENEWAL_GRACE);
+    let bound = settings().late_lease_bound(taken + RENEWAL_GRACE);
     assert!(now >= bound, "free at {now:?}, predecessors may have effect until {bound:?}");
 }
--- a/crates/nickellead_range/tests/lateness.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -6,8 +6,8 @@
 use nickellead_core::Timestamp;
 
 use nickellead_range::{
-    InheritedMap, LastOrder, LatenessWatch, OrderKind, OrderOutcome, OwnerCandidate,
-    PredecessorBounds, RangeKeeper, RangeOrder,
+    InheritedMap, LastOrder, LateOrderDetector, OrderKind, OrderOutcome, OwnerCandidate,
+    PredecessorBounds, RangeController, RangeOrder,
 };
 use world::{SERVICE, holder, settings};
 
@@ -16,12 +16,12 @@
     PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
 
 /// A keeper whose two targets have confirmed their grants at 10,000 ms.
-fn settled_keeper() -> (RangeKeeper, LatenessWatch) {
-    let mut lateness = LatenessWatch::default();
+fn settled_keeper() -> (RangeController, LateOrderDetector) {
+    let mut lateness = LateOrderDetector::default();
     let candidates: Vec<OwnerCandidate> = (0..2)
         .map(|place| OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None })
         .collect();
-    let mut keeper = RangeKeeper::take_over(
+    let mut keeper = RangeController::take_over(
         settings(),
         NO_PREDECESSORS,
         InheritedMap::default(),
@@ -45,13 +45,13 @@
     let now = Timestamp(11_300);
     let orders = keeper.due_orders(now, false, &lateness);
     for (order, outcome) in orders.iter().zip(outcomes) {
-        lateness.note(order, &outcome, now, settings().longest_debt(now));
+        lateness.note(order, &outcome, now, settings().late_lease_bound(now));
         keeper.note_outcome(order, outcome, now);
     }
     let now = Timestamp(12_600);
     for order in keeper.due_orders(now, false, &lateness) {
         let outcome = OrderOutcome::Done(None);
-        lateness.note(&order, &outcome, now, settings().longest_debt(now));
+        lateness.note(&order, &outcome, now, settings().late_lease_bound(now));
         keeper.note_outcome(&order, outcome, now);
     }
     keeper.due_orders(now, false, &lateness);
@@ -80,7 +80,7 @@
 ///
 /// `outcome` gives what becomes of a round's order to a target.
 fn verdict(targets: u32, rounds: u64, outcome: impl Fn(u32, u64) -> OrderOutcome) -> bool {
-    let mut lateness = LatenessWatch::default();
+    let mut lateness = LateOrderDetector::default();
     for round in 0..rounds {
         let now = Timestamp(10_000 + round * 1_000);
         for place in 0..targets {
@@ -93,7 +93,7 @@
                 kind: OrderKind::Grant(None),
                 decided: now,
             };
-            lateness.note(&order, &outcome(place, round), now, settings().longest_debt(now));
+            lateness.note(&order, &outcome(place, round), now, settings().late_lease_bound(now));
         }
     }
     lateness.is_late(Timestamp(10_000 + rounds * 1_000))
--- a/crates/nickellead_range/tests/world/mod.rs
+++ b/crates/nickellead_range/tests/world/mod.rs
@@ -13,8 +13,8 @@
 
 use nickellead_core::{DriftBound, Timestamp};
 use nickellead_range::{
-    HolderRecord, KeeperSettings, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap,
-    RangeOrder, Revision, StoreEra, Stored,
+    ControllerSettings, MandateRecord, OrderOutcome, OwnerCandidate, RangeMap, RangeOrder,
+    Revision, StoreEra, Stored, TargetInstance,
 };
 
 use target::WorldTarget;
@@ -39,8 +39,8 @@
 const COPY_AGES_MS: std::ops::Range<u64> = 1_000..9_000;
 
 /// The keeper's settings in the world.
-pub fn settings() -> KeeperSettings {
-    KeeperSettings {
+pub fn settings() -> ControllerSettings {
+    ControllerSettings {
         hold: Duration::from_millis(4_500),
         renewal: Duration::from_millis(1_000),
         retry: Duration::from_millis(200),
@@ -444,6 +444,6 @@
 }
 
 /// The identity of one life of a target.
-pub fn holder(place: usize, life: u64) -> HolderRecord {
-    HolderRecord { id: format!("target-{place}-{life}"), born: None, address: format!("{place}") }
+pub fn holder(place: usize, life: u64) -> TargetInstance {
+    TargetInstance { id: format!("target-{place}-{life}"), born: None, address: format!("{place}") }
 }
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -4,9 +4,9 @@
 
 use nickellead_core::Timestamp;
 use nickellead_range::{
-    InheritedMap, LatenessWatch, MANDATE_LOOK, MANDATE_RENEWAL, MandatePower, MandateState,
-    MoveProposal, OrderOutcome, RangeKeeper, RangeMap, RangeOrder, Revision, Stored, WriteFate,
-    judge_write,
+    InheritedMap, LateOrderDetector, MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL,
+    MandateAuthority, MandateState, MoveProposal, OrderOutcome, RangeController, RangeMap,
+    RangeOrder, Revision, Stored, WriteOutcome, classify_write,
 };
 
 use super::{BLOCK_KEYS, BLOCKS, SERVICE, World, settings};
@@ -23,10 +23,10 @@
     pub outcomes: Vec<(RangeOrder, OrderOutcome)>,
     mandate: MandateState,
     mandate_due: u64,
-    keeper: Option<RangeKeeper>,
+    keeper: Option<RangeController>,
     /// Whether the mandate allowed nothing at the last step.
     paused: bool,
-    lateness: LatenessWatch,
+    lateness: LateOrderDetector,
     map_revision: Option<Revision>,
     /// The newest map that it was told.
     told: Option<Stored<RangeMap>>,
@@ -48,7 +48,7 @@
             mandate_due: 0,
             keeper: None,
             paused: false,
-            lateness: LatenessWatch::default(),
+            lateness: LateOrderDetector::default(),
             map_revision: None,
             told: None,
             read_back_at: None,
@@ -59,7 +59,7 @@
 impl WorldVm {
     /// Takes in what became of an order.
     fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
-        self.lateness.note(order, &outcome, now, settings().longest_debt(now));
+        self.lateness.note(order, &outcome, now, settings().late_lease_bound(now));
         if let Some(keeper) = &mut self.keeper {
             keeper.note_outcome(order, outcome, now);
         }
@@ -98,19 +98,19 @@
         vm.keeper = None;
     }
     outcomes.into_iter().for_each(|(order, outcome)| vm.note_outcome(&order, outcome, now));
-    let paused = std::mem::replace(&mut vm.paused, power == MandatePower::None);
-    if power == MandatePower::None {
+    let paused = std::mem::replace(&mut vm.paused, power == MandateAuthority::None);
+    if power == MandateAuthority::None {
         return;
     }
     if paused && let Some(keeper) = &mut vm.keeper {
         keeper.resume();
     }
-    if power == MandatePower::Full {
+    if power == MandateAuthority::Full {
         keep_map(world, place, now);
     }
     let vm = &mut world.vms[place];
     if let Some(keeper) = &mut vm.keeper {
-        let only = power == MandatePower::RenewalsOnly;
+        let only = power == MandateAuthority::RenewalsOnly;
         vm.pending.extend(keeper.due_orders(now, only, &vm.lateness));
     }
     // Most of the time orders leave at once; sometimes the VM stands still first.
@@ -123,7 +123,7 @@
     for order in std::mem::take(&mut world.vms[place].pending) {
         let power = world.vms[place].mandate.power(now);
         let stale = now.since(order.decided) > AGE_MOST;
-        let outcome = match power == MandatePower::None || stale {
+        let outcome = match power == MandateAuthority::None || stale {
             true => Some(OrderOutcome::NotSent),
             false => world.send_order(place, &order),
         };
@@ -138,7 +138,7 @@
         return;
     }
     let held = world.vms[place].mandate.is_held();
-    let pause = if held { MANDATE_RENEWAL } else { MANDATE_LOOK };
+    let pause = if held { MANDATE_RENEWAL_INTERVAL } else { MANDATE_POLL_INTERVAL };
     let spread = world.rng.u64(0..100);
     world.vms[place].mandate_due = world.now + pause.as_millis() as u64 + spread;
     if !held || world.vms[place].mandate.is_outdated() {
@@ -189,7 +189,8 @@
         vm.read_back_at = None;
         let predecessors = vm.mandate.take_predecessors();
         let lateness = &mut vm.lateness;
-        let keeper = RangeKeeper::take_over(settings(), predecessors, map, writer, lateness, now);
+        let keeper =
+            RangeController::take_over(settings(), predecessors, map, writer, lateness, now);
         vm.keeper = Some(keeper);
     }
     let (era, rival_until) =
@@ -233,7 +234,9 @@
         return;
     }
     let vm = &mut world.vms[place];
-    let Some((map, edit)) = vm.keeper.as_mut().and_then(RangeKeeper::take_write) else { return };
+    let Some((map, edit)) = vm.keeper.as_mut().and_then(RangeController::take_write) else {
+        return;
+    };
     let expected = vm.map_revision;
     match world.call_write_map(place, expected, &map) {
         Ok(Some(revision)) => {
@@ -253,16 +256,16 @@
     let (found, era) = (world.store.map.clone(), world.store.era);
     let vm = &mut world.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
-    match judge_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
-        WriteFate::Done { revision, edit } => {
+    match classify_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
+        WriteOutcome::Done { revision, edit } => {
             vm.map_revision = Some(revision);
             keeper.note_written(edit);
             if let Some(found) = found {
                 world.tell_map(place, &found);
             }
         }
-        WriteFate::Superseded => vm.keeper = None,
-        WriteFate::Undone(expected) => {
+        WriteOutcome::Superseded => vm.keeper = None,
+        WriteOutcome::Undone(expected) => {
             vm.map_revision = expected;
             keeper.note_write_failed();
         }
