--- a/benches/capacity/news.rs
+++ b/benches/capacity/news.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use nickellead_gateway::{
-    Declarations, DeclarationsChange, DeclarationsHistory, DeclaredNews, DeclaredStep, Packed,
+    Declarations, DeclarationsChange, DeclarationsHistory, DeclaredStep, DeclaredUpdate, Packed,
     RangesHistory, RangesNews, Revision, Stored,
 };
 use nickellead_peer::encode;
@@ -112,7 +112,7 @@
     let packed = sink.time("news-whole-pack", || Packed::pack(&copy).unwrap());
     sink.put("news-whole-plain", "bytes", encode(&copy).unwrap().len() as f64);
     sink.put("news-whole", "bytes", packed.len() as f64);
-    let whole = DeclaredNews::Whole(packed);
+    let whole = DeclaredUpdate::Whole(packed);
     sink.time("news-whole-apply", || whole.apply(None).unwrap());
 }
 
@@ -128,7 +128,7 @@
     let mut history = DeclarationsHistory::default();
     history.push(step);
     let known = old.state();
-    let news = || DeclaredNews::Steps(history.since(known).unwrap());
+    let news = || DeclaredUpdate::Steps(history.since(known).unwrap());
     let tell = || encode(&news()).unwrap().len();
     sink.put(slopes.bytes, "bytes", tell() as f64);
     for (place, readers) in READERS.into_iter().enumerate() {
--- a/crates/nickellead_gateway/src/admission.rs
+++ b/crates/nickellead_gateway/src/admission.rs
@@ -7,7 +7,7 @@
 use bincode::{Decode, Encode};
 use nickellead_balance::ToldLimit;
 
-use crate::fleet::HolderStamp;
+use crate::fleet::AnnouncementStamp;
 
 /// A word that was not renewed for this long counts no more: its holder is lost, or this VM is.
 ///
@@ -36,15 +36,15 @@
 /// Ranges of crowded owners by service, in the order of their keys; all others take every request.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) struct AdmissionTable {
-    pub(crate) stamp: HolderStamp,
+    pub(crate) stamp: AnnouncementStamp,
     pub(crate) services: BTreeMap<String, Vec<AdmissionRange>>,
     /// Targets that name limits, by identity.
-    pub(crate) limits: BTreeMap<String, LifeLimit>,
+    pub(crate) limits: BTreeMap<String, InstanceLimit>,
 }
 
 /// The limit of one life of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
-pub(crate) struct LifeLimit {
+pub(crate) struct InstanceLimit {
     /// When that life started, as in the target's entry.
     pub(crate) born: Option<u64>,
     /// Requests a second from all VMs together.
@@ -55,7 +55,7 @@
     /// What is told of the limit of a life of a target; the first table of a process, without a word of any
     /// holder, tells nothing.
     pub(crate) fn limit(&self, target: &str, born: Option<u64>) -> ToldLimit {
-        if self.stamp == HolderStamp::default() {
+        if self.stamp == AnnouncementStamp::default() {
             return ToldLimit::Unknown;
         }
         let limit = self.limits.get(target).filter(|limit| limit.born == born);
@@ -74,12 +74,12 @@
 
 /// The newest word, and when it came.
 #[derive(Clone, Debug)]
-pub(crate) struct AdmissionBelief {
+pub(crate) struct CachedAdmission {
     table: std::sync::Arc<AdmissionTable>,
     taken: Instant,
 }
 
-impl AdmissionBelief {
+impl CachedAdmission {
     pub(crate) fn new(table: std::sync::Arc<AdmissionTable>) -> Self {
         Self { table, taken: Instant::now() }
     }
--- a/crates/nickellead_gateway/src/book/declared.rs
+++ b/crates/nickellead_gateway/src/book/declared.rs
@@ -5,8 +5,8 @@
 
 use crate::packed::Packed;
 use crate::{
-    AppliedNews, Declarations, DeclarationsChange, DeclarationsHistory, DeclaredNews,
-    DeclaredState, DeclaredStep, Revision,
+    AppliedUpdate, Declarations, DeclarationsChange, DeclarationsHistory, DeclaredState,
+    DeclaredStep, DeclaredUpdate, Revision,
 };
 
 /// What one VM tells another of the declarations.
@@ -15,7 +15,7 @@
     /// The store's revision that they are as of.
     pub(crate) as_of: Revision,
     /// How to get at them.
-    pub(crate) news: DeclaredNews,
+    pub(crate) news: DeclaredUpdate,
 }
 
 /// What a book keeps of the declarations besides their content.
@@ -44,7 +44,7 @@
     }
 
     /// Notes that another VM told declarations.
-    pub(super) fn note_told(&mut self, applied: &AppliedNews) {
+    pub(super) fn note_told(&mut self, applied: &AppliedUpdate) {
         self.history.follow(applied);
         self.whole = None;
     }
@@ -54,14 +54,14 @@
         &mut self,
         known: Option<DeclaredState>,
         newest: &Declarations,
-    ) -> Option<DeclaredNews> {
+    ) -> Option<DeclaredUpdate> {
         if let Some(steps) = known.and_then(|known| self.history.since(known)) {
-            return Some(DeclaredNews::Steps(steps));
+            return Some(DeclaredUpdate::Steps(steps));
         }
         if self.whole.is_none() {
             self.whole = Packed::pack(newest).map_err(|error| log_untold(newest, &error)).ok();
         }
-        self.whole.clone().map(DeclaredNews::Whole)
+        self.whole.clone().map(DeclaredUpdate::Whole)
     }
 }
 
--- a/crates/nickellead_gateway/src/book/mod.rs
+++ b/crates/nickellead_gateway/src/book/mod.rs
@@ -27,9 +27,9 @@
 pub(crate) use self::targets::LAPSE_TIME;
 use self::targets::{ChangeOrigin, TargetPart};
 use crate::admission::AdmissionTable;
-use crate::beliefs::BeliefSenders;
-use crate::fleet::{FleetTable, HolderStamp};
+use crate::fleet::{AnnouncementStamp, FleetTable};
 use crate::packed::Packed;
+use crate::state_channels::StateSenders;
 use crate::waiting::wait_for;
 use crate::{
     Declarations, DeclaredState, EvacuatedZones, MandateRecord, Revision, StoreEra, Stored,
@@ -68,13 +68,13 @@
     mandate: RefCell<Option<Stored<MandateRecord>>>,
     /// Evacuated zones, as of the store's revision at which they were read; 0 before.
     evacuations: RefCell<Stored<EvacuatedZones>>,
-    told: BeliefSenders,
+    told: StateSenders,
     /// Woken by every change.
     pub(crate) changed: Notify,
 }
 
 impl BeliefBook {
-    pub(crate) fn new(incarnation: u64, told: BeliefSenders) -> Self {
+    pub(crate) fn new(incarnation: u64, told: StateSenders) -> Self {
         Self {
             incarnation,
             known: Cell::default(),
@@ -373,7 +373,7 @@
     }
 
     /// Which word about crowded owners is known.
-    fn admission_stamp(&self) -> HolderStamp {
+    fn admission_stamp(&self) -> AnnouncementStamp {
         self.told.admissions.borrow().stamp
     }
 
--- a/crates/nickellead_gateway/src/book/news.rs
+++ b/crates/nickellead_gateway/src/book/news.rs
@@ -7,7 +7,7 @@
 use super::targets::ChangeOrigin;
 use super::{BeliefBook, RangesNews, RangesStep};
 use crate::admission::AdmissionTable;
-use crate::fleet::{FleetTable, HolderStamp};
+use crate::fleet::{AnnouncementStamp, FleetTable};
 use crate::packed::{Packed, PackedError};
 use crate::{
     DeclaredState, EvacuatedZones, MandateRecord, Revision, Stored, TargetChange, TargetList,
@@ -30,9 +30,9 @@
     /// Revision of the last mandate.
     pub(crate) mandate: Revision,
     /// The last word about crowded owners.
-    pub(crate) admissions: HolderStamp,
+    pub(crate) admissions: AnnouncementStamp,
     /// The last word about the VMs that take requests.
-    pub(crate) fleet: HolderStamp,
+    pub(crate) fleet: AnnouncementStamp,
     /// As of when the evacuated zones are known; 0 for never.
     pub(crate) evacuations: Revision,
 }
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -14,8 +14,8 @@
 use super::loads::RECENT_LENGTH;
 use super::ranges::BALANCE_PERIOD;
 use crate::admission::{AdmissionRange, AdmissionTable};
-use crate::fleet::{HolderStamp, MandateTerm};
-use crate::load_count::{AnswerCounts, VmMark};
+use crate::fleet::{AnnouncementStamp, MandateTerm};
+use crate::load_counter::{ResponseCounts, VmId};
 use crate::{OrderPort, StorePort};
 
 /// Weight of one answer in what is known of a target's speed, as a part of the weight that a VM gives
@@ -48,7 +48,7 @@
     /// Latency target of its requests, in milliseconds; 0 before the first answer.
     goal_ms: f64,
     /// What it did since the last look.
-    counts: AnswerCounts,
+    counts: ResponseCounts,
     admission: OwnerAdmission,
     /// Until when the pauses that it asked for count.
     paused_until: Timestamp,
@@ -60,7 +60,7 @@
             born: None,
             unhurried: UnhurriedTime::weighing(ANSWER_WEIGHT),
             goal_ms: 0.0,
-            counts: AnswerCounts::default(),
+            counts: ResponseCounts::default(),
             admission: OwnerAdmission::default(),
             paused_until: Timestamp::ZERO,
         }
@@ -68,7 +68,7 @@
 }
 
 impl TargetFigures {
-    fn note(&mut self, counts: AnswerCounts, now: Timestamp) {
+    fn note(&mut self, counts: ResponseCounts, now: Timestamp) {
         self.counts = counts;
         if counts.pause_ms > 0 {
             let pause = Duration::from_millis(counts.pause_ms.into());
@@ -104,7 +104,7 @@
 
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Takes in what became of requests since the last look.
-    pub(super) fn note_answers(&self, mut answers: HashMap<String, AnswerCounts>) {
+    pub(super) fn note_answers(&self, mut answers: HashMap<String, ResponseCounts>) {
         let listed = self.book.targets();
         let now = BootClock.now();
         let mut figures = self.figures.borrow_mut();
@@ -123,7 +123,7 @@
     }
 
     /// Takes in which VMs reported load.
-    pub(super) fn note_reporters(&self, vms: BTreeSet<VmMark>) {
+    pub(super) fn note_reporters(&self, vms: BTreeSet<VmId>) {
         let now = BootClock.now();
         let mut reporters = self.reporters.borrow_mut();
         reporters.extend(vms.into_iter().map(|vm| (vm, now)));
@@ -154,7 +154,7 @@
         }
         let word = self.admission_word.get() + 1;
         self.admission_word.set(word);
-        let stamp = HolderStamp { term, word };
+        let stamp = AnnouncementStamp { term, word };
         self.book.note_admissions(AdmissionTable { stamp, services, limits });
     }
 
--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -8,7 +8,7 @@
 use nickellead_time::BootClock;
 
 use super::ControlDuty;
-use crate::fleet::{FleetTable, HolderStamp, MandateTerm};
+use crate::fleet::{AnnouncementStamp, FleetTable, MandateTerm};
 use crate::{OrderPort, StorePort};
 
 /// Least time between two words about the fleet, and from taking the mandate to the first one: by then all
@@ -40,6 +40,6 @@
         }
         self.fleet_word.set(Some(FleetWord { term, since: now }));
         let word = if known.stamp.term == term { known.stamp.word + 1 } else { 1 };
-        self.book.note_fleet(FleetTable { stamp: HolderStamp { term, word }, vms });
+        self.book.note_fleet(FleetTable { stamp: AnnouncementStamp { term, word }, vms });
     }
 }
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -10,8 +10,8 @@
 
 use super::ControlDuty;
 use super::loads::LOAD_LENGTH;
-use crate::admission::LifeLimit;
-use crate::load_count::LimitCounts;
+use crate::admission::InstanceLimit;
+use crate::load_counter::LimitCounts;
 use crate::{OrderPort, StorePort};
 
 /// A limit is over when answers have named none for this long: by then all reports of answers that named it have
@@ -85,11 +85,11 @@
     }
 
     /// The limits that targets name, to be told.
-    pub(super) fn named_limits(&self) -> BTreeMap<String, LifeLimit> {
+    pub(super) fn named_limits(&self) -> BTreeMap<String, InstanceLimit> {
         let limits = self.limits.borrow();
         let named = limits.iter().filter(|(_, limit)| limit.over.is_none());
         let told = named.map(|(life, limit)| {
-            (life.id.clone(), LifeLimit { born: life.born, rate: limit.rate })
+            (life.id.clone(), InstanceLimit { born: life.born, rate: limit.rate })
         });
         told.collect()
     }
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -32,14 +32,14 @@
 use self::limits::HeardLimit;
 use self::mandate::keep_mandate;
 use self::ranges::keep_ranges;
-use crate::beliefs::BeliefSenders;
 use crate::book::BeliefBook;
 use crate::evacuation::ZoneStates;
-use crate::follow::Follower;
-use crate::load_count::{LoadCounter, VmMark};
+use crate::load_counter::{LoadCounter, VmId};
 use crate::metrics::ControlMetrics;
 use crate::relay::{NewsRelay, serve_news};
+use crate::state_channels::StateSenders;
 use crate::store_health::StoreHealth;
+use crate::store_watch::StoreWatcher;
 use crate::{
     ColdSettings, OrderPort, OwnershipSettings, PolicySettings, Revision, StoreEra, StorePort,
 };
@@ -65,7 +65,7 @@
     pub(crate) link_mbps: Option<f64>,
     pub(crate) incarnation: u64,
     pub(crate) ownership: OwnershipSettings,
-    pub(crate) beliefs: BeliefSenders,
+    pub(crate) beliefs: StateSenders,
     pub(crate) keys: LoadCounter,
     pub(crate) metrics: ControlMetrics,
     pub(crate) policy: PolicySettings,
@@ -98,7 +98,7 @@
     /// What all VMs saw of each target.
     figures: RefCell<HashMap<String, TargetFigures>>,
     /// VMs that reported load, and when they last did.
-    reporters: RefCell<HashMap<VmMark, Timestamp>>,
+    reporters: RefCell<HashMap<VmId, Timestamp>>,
     /// Number of the last word about crowded owners.
     admission_word: Cell<u64>,
     /// Limits that listed targets name.
@@ -121,7 +121,7 @@
     /// Which zones are evacuated, and since when.
     zones: RefCell<ZoneStates>,
     /// This VM, among those that take requests.
-    mark: VmMark,
+    mark: VmId,
     /// The last word about the fleet.
     fleet_word: Cell<Option<FleetWord>>,
     vm: String,
@@ -134,7 +134,7 @@
         let health = Rc::new(StoreHealth::new(parts.metrics.clone()));
         let book = Rc::new(BeliefBook::new(parts.incarnation, parts.beliefs));
         let address = parts.announced_address;
-        let mark = VmMark::of(&parts.vm, &parts.zone);
+        let mark = VmId::of(&parts.vm, &parts.zone);
         let relay = NewsRelay::new(
             parts.zone,
             address,
@@ -186,7 +186,7 @@
         if let Ok(listener) = tokio::net::TcpListener::from_std(peers) {
             actix_rt::spawn(serve_news(Rc::clone(&self.relay), listener));
         }
-        let follower = Follower {
+        let follower = StoreWatcher {
             store: Rc::clone(&self.store),
             health: Rc::clone(&self.health),
             book: Rc::clone(&self.book),
--- a/crates/nickellead_gateway/src/declared/mod.rs
+++ b/crates/nickellead_gateway/src/declared/mod.rs
@@ -7,15 +7,15 @@
 
 mod change;
 mod history;
-mod news;
 mod route;
 mod state;
+mod updates;
 
 pub use change::DeclarationsChange;
 pub use history::{DeclarationsHistory, DeclaredStep, HISTORY_BYTES, HISTORY_STEPS};
-pub use news::{AppliedNews, DeclaredNews, NewsError};
 pub use nickellead_peer::{ChangeError, DeclaredState};
-pub use route::{RepeatClass, RoutePart, RouteRule, SharedRoute};
+pub use route::{RepeatClass, RouteRule, SharedRoute, WeightedService};
+pub use updates::{AppliedUpdate, DeclaredUpdate, UpdateError};
 
 /// All declarations of one version.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
--- a/crates/nickellead_gateway/src/declared/route.rs
+++ b/crates/nickellead_gateway/src/declared/route.rs
@@ -40,12 +40,12 @@
     /// Most targets that one request may be sent to.
     pub attempts: u32,
     /// Services with their shares of the requests.
-    pub parts: Vec<RoutePart>,
+    pub parts: Vec<WeightedService>,
 }
 
 /// One service's share of a route.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct RoutePart {
+pub struct WeightedService {
     /// The service.
     pub service: String,
     /// Its share beside the other parts' weights.
--- a/crates/nickellead_gateway/src/declared/news.rs
+++ b/crates/nickellead_gateway/src/declared/updates.rs
@@ -10,7 +10,7 @@
 
 /// What one VM tells another of the declarations.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum DeclaredNews {
+pub enum DeclaredUpdate {
     /// The changes since a content that the other VM knows, in order.
     Steps(Vec<Packed<DeclarationsChange>>),
     /// All declarations.
@@ -19,7 +19,7 @@
 
 /// Why news can't be applied; what was known stays in force.
 #[derive(Debug, Error)]
-pub enum NewsError {
+pub enum UpdateError {
     /// There are only changes, and nothing is known that they could change.
     #[error("changes of declarations, of which none are known")]
     NothingKnown,
@@ -33,7 +33,7 @@
 
 /// Declarations that result from news.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AppliedNews {
+pub struct AppliedUpdate {
     /// The declarations.
     pub declarations: Declarations,
     /// Their state.
@@ -42,21 +42,21 @@
     pub steps: Vec<DeclaredStep>,
 }
 
-impl DeclaredNews {
+impl DeclaredUpdate {
     /// Applies the news to the declarations known. Whether they are wanted is the caller's concern:
     /// a whole copy may well be older than what is known.
     ///
     /// # Errors
-    /// [`NewsError`] when any part can't be read or does not lead where it says.
-    pub fn apply(&self, known: Option<&Declarations>) -> Result<AppliedNews, NewsError> {
+    /// [`UpdateError`] when any part can't be read or does not lead where it says.
+    pub fn apply(&self, known: Option<&Declarations>) -> Result<AppliedUpdate, UpdateError> {
         match self {
             Self::Whole(packed) => {
                 let declarations = packed.unpack()?;
                 let state = declarations.state();
-                Ok(AppliedNews { declarations, state, steps: Vec::new() })
+                Ok(AppliedUpdate { declarations, state, steps: Vec::new() })
             }
             Self::Steps(changes) => {
-                let known = known.ok_or(NewsError::NothingKnown)?;
+                let known = known.ok_or(UpdateError::NothingKnown)?;
                 apply_steps(known, changes)
             }
         }
@@ -67,7 +67,7 @@
 fn apply_steps(
     known: &Declarations,
     changes: &[Packed<DeclarationsChange>],
-) -> Result<AppliedNews, NewsError> {
+) -> Result<AppliedUpdate, UpdateError> {
     let mut state = known.state();
     let mut declarations = known.clone();
     let mut steps = Vec::new();
@@ -78,12 +78,12 @@
         state = change.to;
         steps.push(DeclaredStep { from: change.from, to: change.to, packed: packed.clone() });
     }
-    Ok(AppliedNews { declarations, state, steps })
+    Ok(AppliedUpdate { declarations, state, steps })
 }
 
 impl DeclarationsHistory {
     /// Takes news that were applied, so that the same bytes can be told on.
-    pub fn follow(&mut self, applied: &AppliedNews) {
+    pub fn follow(&mut self, applied: &AppliedUpdate) {
         for step in &applied.steps {
             self.push(step.clone());
         }
--- a/crates/nickellead_gateway/src/exchange.rs
+++ b/crates/nickellead_gateway/src/exchange.rs
@@ -11,8 +11,8 @@
 use nickellead_time::BootClock;
 
 use crate::connections::{ConnectFailure, ReadyConnection, SharedPool};
-use crate::roster::TargetMember;
-use crate::target_signs::AnswerSigns;
+use crate::response_signals::ResponseSignals;
+use crate::target_registry::RegisteredTarget;
 use crate::{HeaderNames, RepeatClass};
 
 /// Largest body of an answer, in bytes: it is read whole before the caller gets any of it.
@@ -28,8 +28,8 @@
 }
 
 /// Where and until when a try is made.
-pub(crate) struct TryPlan<'a> {
-    pub(crate) member: &'a TargetMember,
+pub(crate) struct AttemptPlan<'a> {
+    pub(crate) member: &'a RegisteredTarget,
     pub(crate) repeat: RepeatClass,
     /// For how long it is sent requests after it said that it leaves.
     pub(crate) stay: Duration,
@@ -39,7 +39,7 @@
 
 /// A whole answer of a target.
 #[derive(Debug)]
-pub(crate) struct TargetAnswer {
+pub(crate) struct TargetResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -47,9 +47,9 @@
 
 /// How a try ended.
 #[derive(Debug)]
-pub(crate) enum TryResult {
+pub(crate) enum AttemptResult {
     /// A whole answer that belongs to the request.
-    Answered(TargetAnswer),
+    Answered(TargetResponse),
     /// The target says it did not run the request.
     Shed,
     /// The target is another than the asked one, or does not own the key; it did not run it.
@@ -64,17 +64,17 @@
 
 /// The end of a try, and what the target told of itself by then.
 #[derive(Debug)]
-pub(crate) struct TryEnd {
-    pub(crate) result: TryResult,
-    pub(crate) signs: AnswerSigns,
+pub(crate) struct AttemptEnd {
+    pub(crate) result: AttemptResult,
+    pub(crate) signs: ResponseSignals,
     /// When the request was sent last.
     pub(crate) sent: Timestamp,
 }
 
-impl From<TryResult> for TryEnd {
+impl From<AttemptResult> for AttemptEnd {
     /// The end of a try in which the target told nothing of itself.
-    fn from(result: TryResult) -> Self {
-        Self { result, signs: AnswerSigns::default(), sent: Timestamp::ZERO }
+    fn from(result: AttemptResult) -> Self {
+        Self { result, signs: ResponseSignals::default(), sent: Timestamp::ZERO }
     }
 }
 
@@ -100,41 +100,41 @@
 }
 
 /// Sends a request to one target and reads the whole answer.
-pub(crate) async fn try_target(
+pub(crate) async fn run_attempt(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
-    plan: &TryPlan<'_>,
-) -> TryEnd {
+    plan: &AttemptPlan<'_>,
+) -> AttemptEnd {
     let left = |until: Instant| until.saturating_duration_since(Instant::now());
     loop {
         let taking = plan.member.pool.take(plan.member.address, left(plan.until), plan.repeat);
         let mut connection = match taking.await {
             Ok(connection) => connection,
-            Err(failure) => return TryResult::NotSent(failure).into(),
+            Err(failure) => return AttemptResult::NotSent(failure).into(),
         };
         let started = BootClock.now();
         if !plan.member.take_turn(plan.stay, started) {
             plan.member.pool.put(connection.sender, None);
-            return TryResult::Withheld.into();
+            return AttemptResult::Withheld.into();
         }
         let request = build_request(names, outgoing, plan, left(plan.until));
         let sending = connection.sender.try_send_request(request);
         let sent = tokio::time::timeout(left(plan.until), sending).await;
         match sent {
-            Err(_) => return TryResult::Lost(LossReason::Late).into(),
+            Err(_) => return AttemptResult::Lost(LossReason::Late).into(),
             Ok(Ok(response)) => {
                 let (result, signs) =
                     read_answer(names, outgoing, plan, connection, response).await;
-                return TryEnd { result, signs, sent: started };
+                return AttemptEnd { result, signs, sent: started };
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
-                    return TryResult::Lost(LossReason::Broken).into();
+                    return AttemptResult::Lost(LossReason::Broken).into();
                 }
                 plan.member.give_turn_back(BootClock.now());
                 // The connection had ended before a byte left: take another.
                 if !connection.reused {
-                    return TryResult::NotSent(ConnectFailure::Broken).into();
+                    return AttemptResult::NotSent(ConnectFailure::Broken).into();
                 }
             }
         }
@@ -144,7 +144,7 @@
 fn build_request(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
-    plan: &TryPlan<'_>,
+    plan: &AttemptPlan<'_>,
     left: Duration,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
@@ -168,14 +168,14 @@
 async fn read_answer(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
-    plan: &TryPlan<'_>,
+    plan: &AttemptPlan<'_>,
     connection: ReadyConnection,
     response: Response<Incoming>,
-) -> (TryResult, AnswerSigns) {
+) -> (AttemptResult, ResponseSignals) {
     let (head, body) = response.into_parts();
     let signs = match is_of_target(names, outgoing, plan, &head) {
-        true => AnswerSigns::read(names, head.status, &head.headers),
-        false => AnswerSigns::default(),
+        true => ResponseSignals::read(names, head.status, &head.headers),
+        false => ResponseSignals::default(),
     };
     let result = read_body(names, outgoing, plan, connection, head, body).await;
     (result, signs)
@@ -186,7 +186,7 @@
 fn is_of_target(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
-    plan: &TryPlan<'_>,
+    plan: &AttemptPlan<'_>,
     head: &Parts,
 ) -> bool {
     if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -200,16 +200,16 @@
 async fn read_body(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
-    plan: &TryPlan<'_>,
+    plan: &AttemptPlan<'_>,
     connection: ReadyConnection,
     head: Parts,
     body: Incoming,
-) -> TryResult {
+) -> AttemptResult {
     let owned = head.headers.get(names.request_id) == Some(&outgoing.request_id);
     let shed = head.headers.contains_key(names.not_run);
     let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
     if !owned && !shed && !misdirected {
-        return TryResult::Lost(LossReason::Foreign);
+        return AttemptResult::Lost(LossReason::Foreign);
     }
     let left = plan.until.saturating_duration_since(Instant::now());
     let collected = tokio::time::timeout(left, Limited::new(body, ANSWER_MAX).collect()).await;
@@ -220,23 +220,23 @@
     };
     put_back(&plan.member.pool, connection, &head.headers);
     if misdirected {
-        return TryResult::Misdirected;
+        return AttemptResult::Misdirected;
     }
     if shed {
-        return TryResult::Shed;
+        return AttemptResult::Shed;
     }
     if head.status.is_success() && !head.headers.contains_key(names.target_proof) {
-        return TryResult::Lost(LossReason::Foreign);
+        return AttemptResult::Lost(LossReason::Foreign);
     }
-    TryResult::Answered(TargetAnswer { status: head.status, headers: head.headers, body })
+    AttemptResult::Answered(TargetResponse { status: head.status, headers: head.headers, body })
 }
 
 /// A refusal stands even when its body is cut.
-fn unless_refused(shed: bool, misdirected: bool, reason: LossReason) -> TryResult {
+fn unless_refused(shed: bool, misdirected: bool, reason: LossReason) -> AttemptResult {
     match (misdirected, shed) {
-        (true, _) => TryResult::Misdirected,
-        (false, true) => TryResult::Shed,
-        (false, false) => TryResult::Lost(reason),
+        (true, _) => AttemptResult::Misdirected,
+        (false, true) => AttemptResult::Shed,
+        (false, false) => AttemptResult::Lost(reason),
     }
 }
 
--- a/crates/nickellead_gateway/src/fleet.rs
+++ b/crates/nickellead_gateway/src/fleet.rs
@@ -5,13 +5,13 @@
 use bincode::{Decode, Encode};
 use nickellead_limit::is_cold_sender;
 
-use crate::load_count::VmMark;
+use crate::load_counter::VmId;
 use crate::{MandateRecord, StoreEra, Stored};
 
 /// Which word is newer: first by when its holder took the mandate, in which era of the store, then by the
 /// holder's own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub(crate) struct HolderStamp {
+pub(crate) struct AnnouncementStamp {
     pub(crate) term: MandateTerm,
     /// Number of the holder's word.
     pub(crate) word: u64,
@@ -36,13 +36,13 @@
 /// The VMs that take requests.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) struct FleetTable {
-    pub(crate) stamp: HolderStamp,
-    pub(crate) vms: BTreeSet<VmMark>,
+    pub(crate) stamp: AnnouncementStamp,
+    pub(crate) vms: BTreeSet<VmId>,
 }
 
 impl FleetTable {
     /// How many VMs there are, this one included; 0 while none are known.
-    pub(crate) fn sharers(&self, vm: VmMark) -> usize {
+    pub(crate) fn sharers(&self, vm: VmId) -> usize {
         match self.vms.len() {
             0 => 0,
             known => known + usize::from(!self.vms.contains(&vm)),
@@ -51,13 +51,13 @@
 
     /// Place of a VM among those of its availability zone, and how many these are; `None` for a VM that
     /// the fleet does not name.
-    pub(crate) fn place_in_zone(&self, vm: VmMark) -> Option<(usize, usize)> {
+    pub(crate) fn place_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
         let near = self.vms.iter().filter(|one| one.is_beside(vm));
         place_among(vm, near)
     }
 
     /// The same among all VMs.
-    pub(crate) fn place(&self, vm: VmMark) -> Option<(usize, usize)> {
+    pub(crate) fn place(&self, vm: VmId) -> Option<(usize, usize)> {
         place_among(vm, self.vms.iter())
     }
 
@@ -66,7 +66,7 @@
     /// They are the VMs of the zone whose hashes with the target are highest, or of all zones if the zone
     /// has none: VMs that know the same fleet agree without asking each other, also while they are cut
     /// off, and a VM that comes or goes changes few of them.
-    pub(crate) fn is_sender(&self, vm: VmMark, target: &str, zone: &str) -> bool {
+    pub(crate) fn is_sender(&self, vm: VmId, target: &str, zone: &str) -> bool {
         if !self.vms.contains(&vm) {
             return false;
         }
@@ -80,8 +80,8 @@
 }
 
 fn place_among<'a>(
-    vm: VmMark,
-    all: impl Iterator<Item = &'a VmMark> + Clone,
+    vm: VmId,
+    all: impl Iterator<Item = &'a VmId> + Clone,
 ) -> Option<(usize, usize)> {
     let place = all.clone().position(|one| *one == vm)?;
     Some((place, all.count()))
--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -15,7 +15,7 @@
 use crate::{CallerLimits, HeaderNames};
 
 /// A request that has a route.
-pub(crate) struct PlannedRequest {
+pub(crate) struct IncomingRequest {
     pub(crate) route: Rc<RouteEntry>,
     pub(crate) outgoing: OutgoingRequest,
     /// The caller's key, if it names one.
@@ -27,7 +27,7 @@
     pub(crate) until: Instant,
 }
 
-impl PlannedRequest {
+impl IncomingRequest {
     /// The service that figures count it under: the first one where the route is split.
     pub(crate) fn main_service(&self) -> &str {
         self.route.rule.parts.first().map_or("-", |part| &part.service)
@@ -45,12 +45,12 @@
 }
 
 /// Reads a whole request.
-pub(crate) async fn plan_request(
+pub(crate) async fn read_request(
     mut request: Request,
     names: &HeaderNames,
     limits: CallerLimits,
     table: &RouteTable,
-) -> Result<PlannedRequest, ErrorKind> {
+) -> Result<IncomingRequest, ErrorKind> {
     let arrived = Instant::now();
     check_head(&request, limits)?;
     let host = read_host(&request)?;
@@ -69,7 +69,7 @@
         request.uri().path_and_query().map_or("/", |whole| whole.as_str()).to_owned();
     let body = read_body_until(request.take_payload(), limits.body_bytes, until).await?;
     let outgoing = OutgoingRequest { method, path_and_query, headers, body, request_id };
-    Ok(PlannedRequest { route, outgoing, key, arrived, age, until })
+    Ok(IncomingRequest { route, outgoing, key, arrived, age, until })
 }
 
 fn check_head(request: &Request, limits: CallerLimits) -> Result<(), ErrorKind> {
--- a/crates/nickellead_gateway/src/lib.rs
+++ b/crates/nickellead_gateway/src/lib.rs
@@ -10,7 +10,6 @@
 //! of the `port` module.
 
 mod admission;
-mod beliefs;
 mod book;
 mod connections;
 mod control;
@@ -19,43 +18,44 @@
 mod evacuation;
 mod exchange;
 mod fleet;
-mod follow;
 mod incoming;
-mod load_count;
+mod load_counter;
 mod metrics;
 mod node;
-mod order_call;
+mod order_client;
 mod packed;
 mod policy;
 mod port;
 mod relay;
 mod requests;
-mod retry_share;
-mod roster;
+mod response_signals;
+mod retry_budget;
 mod route_table;
 mod settings;
+mod state_channels;
 mod store_era;
 mod store_health;
-mod target_signs;
+mod store_watch;
+mod target_registry;
 mod targets;
 mod waiting;
 mod worker;
 
 pub use book::{RangesHistory, RangesNews, RangesStep, StepsMisfit};
 pub use declared::{
-    AppliedNews, CallerLimits, ChangeError, ColdRule, Declarations, DeclarationsChange,
-    DeclarationsHistory, DeclaredNews, DeclaredState, DeclaredStep, HISTORY_BYTES, HISTORY_STEPS,
-    NewsError, RepeatClass, RoutePart, RouteRule, ServiceRule, SharedRoute,
+    AppliedUpdate, CallerLimits, ChangeError, ColdRule, Declarations, DeclarationsChange,
+    DeclarationsHistory, DeclaredState, DeclaredStep, DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS,
+    RepeatClass, RouteRule, ServiceRule, SharedRoute, UpdateError, WeightedService,
 };
 pub use nickellead_range::{MandateRecord, Revision, StoreEra, Stored};
 pub use node::{GatewayError, GatewayHandle, start_gateway};
-pub use order_call::{CallFailure, OrderCaller};
+pub use order_client::{CallFailure, OrderClient};
 pub use packed::{Packed, PackedError, UNPACKED_LIMIT};
 pub use policy::{PolicySettings, PolicySwitch};
 pub use port::{HeaderNames, OrderPort, OrderReply, Snapshot, StoreError, StorePort};
+pub use response_signals::signals_leaving;
 pub use settings::{ColdSettings, GatewaySettings, OwnershipSettings, SettingsError};
-pub use store_era::EraWatch;
-pub use target_signs::says_leaving;
+pub use store_era::EraMonitor;
 pub use targets::{
     EvacuatedZones, TargetChange, TargetEntry, TargetList, TargetListing, TargetState,
 };
--- a/crates/nickellead_gateway/src/load_count.rs
+++ b/crates/nickellead_gateway/src/load_counter.rs
@@ -19,23 +19,23 @@
     /// Requests by service and key.
     pub(crate) keys: KeyCounts,
     /// What became of requests, by target.
-    pub(crate) answers: HashMap<String, AnswerCounts>,
+    pub(crate) answers: HashMap<String, ResponseCounts>,
     /// Targets that said that they leave.
     pub(crate) leaving: BTreeSet<HolderRecord>,
     /// What targets said of limits.
     pub(crate) limits: BTreeMap<HolderRecord, LimitCounts>,
     /// The VMs that counted.
-    pub(crate) vms: BTreeSet<VmMark>,
+    pub(crate) vms: BTreeSet<VmId>,
 }
 
 /// A VM and its availability zone, hashed: enough to count VMs by, and to share work out among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
-pub(crate) struct VmMark {
+pub(crate) struct VmId {
     vm: u32,
     zone: u32,
 }
 
-impl VmMark {
+impl VmId {
     /// The mark of the VM of this name and availability zone.
     pub(crate) fn of(vm: &str, zone: &str) -> Self {
         Self { vm: short_hash(vm), zone: short_hash(zone) }
@@ -63,7 +63,7 @@
 
 /// What became of requests at one target since the last look.
 #[derive(Clone, Copy, Debug, Default, Encode, Decode)]
-pub(crate) struct AnswerCounts {
+pub(crate) struct ResponseCounts {
     /// Whole answers.
     pub(crate) answered: u32,
     /// Their time together, in milliseconds.
@@ -95,7 +95,7 @@
     }
 }
 
-impl AnswerCounts {
+impl ResponseCounts {
     fn add(&mut self, other: Self) {
         self.answered = self.answered.saturating_add(other.answered);
         self.total_ms += other.total_ms;
@@ -135,19 +135,19 @@
         let total_ms = length.as_secs_f64() * 1_000.0;
         self.add_answers(
             target,
-            AnswerCounts { answered: 1, total_ms, goal_parts, ..AnswerCounts::default() },
+            ResponseCounts { answered: 1, total_ms, goal_parts, ..ResponseCounts::default() },
         );
     }
 
     /// Counts a request that a target left without a usable answer.
     pub(crate) fn note_lost(&self, target: &str) {
-        self.add_answers(target, AnswerCounts { lost: 1, ..AnswerCounts::default() });
+        self.add_answers(target, ResponseCounts { lost: 1, ..ResponseCounts::default() });
     }
 
     /// Counts a pause that a target asked for.
     pub(crate) fn note_pause(&self, target: &str, pause: Duration) {
         let pause_ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
-        self.add_answers(target, AnswerCounts { pause_ms, ..AnswerCounts::default() });
+        self.add_answers(target, ResponseCounts { pause_ms, ..ResponseCounts::default() });
     }
 
     /// Counts an answer that names a limit, or that names none any more.
@@ -156,7 +156,7 @@
         self.lock().limits.entry(target).or_default().add(counts);
     }
 
-    fn add_answers(&self, target: &str, new: AnswerCounts) {
+    fn add_answers(&self, target: &str, new: ResponseCounts) {
         let mut counts = self.lock();
         match counts.answers.get_mut(target) {
             Some(known) => known.add(new),
--- a/crates/nickellead_gateway/src/metrics/requests.rs
+++ b/crates/nickellead_gateway/src/metrics/requests.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use crate::target_signs::{AnswerSigns, LimitWord};
+use crate::response_signals::{LimitSignal, ResponseSignals};
 
 /// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 10] = [0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
@@ -107,13 +107,13 @@
     }
 
     /// Counts an answer that tells something of its target.
-    pub(crate) fn count_signs(&self, signs: AnswerSigns) {
+    pub(crate) fn count_signs(&self, signs: ResponseSignals) {
         let told = [
             ("leaving", signs.leaving),
             ("pause", signs.pause.is_some()),
             ("unreadable-pause", signs.unreadable),
-            ("limit", matches!(signs.limit, LimitWord::Limited(_))),
-            ("unreadable-limit", signs.limit == LimitWord::Unreadable),
+            ("limit", matches!(signs.limit, LimitSignal::Limited(_))),
+            ("unreadable-limit", signs.limit == LimitSignal::Unreadable),
         ];
         for (sign, _) in told.into_iter().filter(|(_, told)| *told) {
             self.signs.get_or_create(&SignLabel { sign }).inc();
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -10,12 +10,12 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-use crate::beliefs::join_beliefs;
 use crate::control::{self, ControlParts};
 use crate::drain::DrainState;
-use crate::load_count::LoadCounter;
+use crate::load_counter::LoadCounter;
 use crate::metrics::ControlMetrics;
-use crate::requests::{self, RequestParts};
+use crate::requests::{self, RequestContext};
+use crate::state_channels::state_channels;
 use crate::{GatewaySettings, HeaderNames, OrderPort, StorePort};
 
 /// Part of the grace time during which a stopping VM goes on taking connections in any case.
@@ -85,14 +85,14 @@
     O: OrderPort,
 {
     let sockets = NodeSockets::bind(&settings)?;
-    let (senders, receivers) = join_beliefs();
+    let (senders, receivers) = state_channels();
     let keys = LoadCounter::default();
     let state = Arc::new(ServeState::default());
     let drain = Arc::new(DrainState::default());
     let (stopping, stopped) = watch::channel(false);
     let incarnation = control::draw_number();
     let metrics = ControlMetrics::default();
-    let requests = requests::start(RequestParts {
+    let requests = requests::start(RequestContext {
         names,
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
--- a/crates/nickellead_gateway/src/order_call.rs
+++ b/crates/nickellead_gateway/src/order_client.rs
@@ -35,11 +35,11 @@
 
 /// Calls targets on connections that are reset when a call is given up.
 #[derive(Default)]
-pub struct OrderCaller {
+pub struct OrderClient {
     pools: RefCell<HashMap<SocketAddr, SharedPool>>,
 }
 
-impl OrderCaller {
+impl OrderClient {
     /// Posts a JSON body and waits for the whole answer, `wait` at most.
     ///
     /// # Errors
--- a/crates/nickellead_gateway/src/relay/messages.rs
+++ b/crates/nickellead_gateway/src/relay/messages.rs
@@ -7,7 +7,7 @@
 
 use crate::DeclaredState;
 use crate::book::{BookMark, BookNews, DeclaredTell};
-use crate::load_count::LoadCounts;
+use crate::load_counter::LoadCounts;
 
 /// Path of these messages, which ends in the version of their protocol: VMs of different ones follow
 /// the store instead of each other.
--- a/crates/nickellead_gateway/src/relay/mod.rs
+++ b/crates/nickellead_gateway/src/relay/mod.rs
@@ -25,7 +25,7 @@
 use self::telling::NewsReader;
 pub(crate) use self::telling::serve_news;
 use crate::book::BeliefBook;
-use crate::load_count::{LoadCounter, VmMark};
+use crate::load_counter::{LoadCounter, VmId};
 use crate::store_health::StoreHealth;
 use crate::waiting::wait_for;
 
@@ -86,7 +86,7 @@
     asked: Cell<Option<Instant>>,
     loads: LoadCounter,
     /// This VM, in the loads that it reports.
-    mark: VmMark,
+    mark: VmId,
     /// Woken when the source changes.
     changed: Notify,
 }
@@ -98,7 +98,7 @@
         book: Rc<BeliefBook>,
         health: Rc<StoreHealth>,
         loads: LoadCounter,
-        mark: VmMark,
+        mark: VmId,
     ) -> Rc<Self> {
         Rc::new(Self {
             zone,
--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -11,10 +11,10 @@
 use nickellead_proxy::{ServeState, serve_http};
 use prometheus_client::registry::Registry;
 
-use crate::beliefs::BeliefReceivers;
 use crate::drain::DrainState;
-use crate::load_count::LoadCounter;
+use crate::load_counter::LoadCounter;
 use crate::metrics::{ControlMetrics, GatewayMetrics};
+use crate::state_channels::StateReceivers;
 use crate::worker::{RequestWorker, WorkerParts};
 use crate::{ColdSettings, HeaderNames, PolicySettings};
 
@@ -26,7 +26,7 @@
 const FLUSH_TIME: Duration = Duration::from_millis(50);
 
 /// What the request duty is built from.
-pub(crate) struct RequestParts {
+pub(crate) struct RequestContext {
     pub(crate) names: HeaderNames,
     pub(crate) vm: String,
     pub(crate) zone: String,
@@ -36,7 +36,7 @@
     pub(crate) readiness: TcpListener,
     pub(crate) metrics: Option<TcpListener>,
     pub(crate) control_metrics: ControlMetrics,
-    pub(crate) beliefs: BeliefReceivers,
+    pub(crate) beliefs: StateReceivers,
     pub(crate) keys: LoadCounter,
     pub(crate) state: Arc<ServeState>,
     pub(crate) drain: Arc<DrainState>,
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The system's error when it refuses a thread.
-pub(crate) fn start(parts: RequestParts) -> std::io::Result<JoinHandle<()>> {
+pub(crate) fn start(parts: RequestContext) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("requests".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
             runtime.block_on(run(parts));
@@ -57,7 +57,7 @@
     })
 }
 
-async fn run(parts: RequestParts) {
+async fn run(parts: RequestContext) {
     let mut registry = Registry::with_prefix("nickellead");
     let metrics = GatewayMetrics::register(&mut registry);
     parts.control_metrics.register(&mut registry);
@@ -110,7 +110,7 @@
     listener: TcpListener,
     worker: &Rc<RequestWorker>,
     registry: &Rc<Registry>,
-    beliefs: BeliefReceivers,
+    beliefs: StateReceivers,
     drain: &Arc<DrainState>,
 ) {
     let (worker, registry, drain) = (Rc::clone(worker), Rc::clone(registry), Arc::clone(drain));
@@ -125,7 +125,7 @@
 }
 
 /// Hands each new belief to the worker as it comes.
-fn follow_beliefs(worker: &Rc<RequestWorker>, beliefs: &BeliefReceivers) {
+fn follow_beliefs(worker: &Rc<RequestWorker>, beliefs: &StateReceivers) {
     let (updated, mut declarations) = (Rc::clone(worker), beliefs.declarations.clone());
     actix_rt::spawn(async move {
         while declarations.changed().await.is_ok() {
--- a/crates/nickellead_gateway/src/target_signs.rs
+++ b/crates/nickellead_gateway/src/response_signals.rs
@@ -14,7 +14,7 @@
 
 /// What one answer tells of its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct AnswerSigns {
+pub(crate) struct ResponseSignals {
     /// Whether the target leaves.
     pub(crate) leaving: bool,
     /// For how long it wants nothing from this VM.
@@ -22,12 +22,12 @@
     /// Whether it named a time that can't be read.
     pub(crate) unreadable: bool,
     /// What it says of the requests that it takes.
-    pub(crate) limit: LimitWord,
+    pub(crate) limit: LimitSignal,
 }
 
 /// What an answer says of the requests a second that its target takes from all VMs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum LimitWord {
+pub(crate) enum LimitSignal {
     /// Nothing that counts: no answer of the target came.
     #[default]
     Unheard,
@@ -39,18 +39,18 @@
     Unreadable,
 }
 
-impl AnswerSigns {
+impl ResponseSignals {
     /// Reads them from the head of an answer.
     pub(crate) fn read(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> Self {
         let told = headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
         let pause = told.and_then(|value| parse_seconds(value.to_str().ok()?));
         let unreadable = told.is_some() && pause.is_none();
-        let limit = LimitWord::read(names, headers);
-        Self { leaving: says_leaving(names, headers), pause, unreadable, limit }
+        let limit = LimitSignal::read(names, headers);
+        Self { leaving: signals_leaving(names, headers), pause, unreadable, limit }
     }
 }
 
-impl LimitWord {
+impl LimitSignal {
     /// The limit that it names, or that there is none; nothing if it says nothing.
     pub(crate) fn told(self) -> Option<Option<f64>> {
         match self {
@@ -69,7 +69,7 @@
 
 /// Whether the head of an answer says that its target leaves.
 #[must_use]
-pub fn says_leaving(names: &HeaderNames, headers: &HeaderMap) -> bool {
+pub fn signals_leaving(names: &HeaderNames, headers: &HeaderMap) -> bool {
     headers.get(names.leaving).is_some_and(|value| value.as_bytes().trim_ascii() == b"1")
 }
 
--- a/crates/nickellead_gateway/src/retry_share.rs
+++ b/crates/nickellead_gateway/src/retry_budget.rs
@@ -9,12 +9,12 @@
 
 /// Tokens by service: requests earn them, retries spend them.
 #[derive(Debug)]
-pub(crate) struct RetryShare {
+pub(crate) struct RetryBudget {
     most: f64,
     tokens: HashMap<String, f64>,
 }
 
-impl RetryShare {
+impl RetryBudget {
     /// Every service starts with `most` tokens and never has more.
     pub(crate) fn new(most: f64) -> Self {
         Self { most, tokens: HashMap::new() }
--- a/crates/nickellead_gateway/src/route_table.rs
+++ b/crates/nickellead_gateway/src/route_table.rs
@@ -6,7 +6,7 @@
 
 use nickellead_limit::CallerPatience;
 
-use crate::{Declarations, RoutePart, SharedRoute};
+use crate::{Declarations, SharedRoute, WeightedService};
 
 /// A route with the turn of its split.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     }
 
     /// The part that the next request goes to: shares are kept to within one request.
-    pub(crate) fn next_part(&self) -> Option<&RoutePart> {
+    pub(crate) fn next_part(&self) -> Option<&WeightedService> {
         let total: f64 = self.rule.parts.iter().map(|part| part.weight).sum();
         if total <= 0.0 {
             return self.rule.parts.first();
--- a/crates/nickellead_gateway/src/beliefs.rs
+++ b/crates/nickellead_gateway/src/state_channels.rs
@@ -10,7 +10,7 @@
 use crate::{Declarations, EvacuatedZones, TargetList};
 
 /// Sending ends; each value replaces the one before it.
-pub(crate) struct BeliefSenders {
+pub(crate) struct StateSenders {
     pub(crate) declarations: watch::Sender<Option<Arc<Declarations>>>,
     pub(crate) targets: watch::Sender<Arc<TargetList>>,
     pub(crate) ranges: watch::Sender<Arc<RangeMap>>,
@@ -21,7 +21,7 @@
 
 /// Receiving ends.
 #[derive(Clone)]
-pub(crate) struct BeliefReceivers {
+pub(crate) struct StateReceivers {
     pub(crate) declarations: watch::Receiver<Option<Arc<Declarations>>>,
     pub(crate) targets: watch::Receiver<Arc<TargetList>>,
     pub(crate) ranges: watch::Receiver<Arc<RangeMap>>,
@@ -31,15 +31,15 @@
 }
 
 /// Joins the two duties.
-pub(crate) fn join_beliefs() -> (BeliefSenders, BeliefReceivers) {
+pub(crate) fn state_channels() -> (StateSenders, StateReceivers) {
     let (declarations, declared) = watch::channel(None);
     let (targets, listed) = watch::channel(Arc::default());
     let (ranges, ranged) = watch::channel(Arc::default());
     let (admissions, admitted) = watch::channel(Arc::default());
     let (evacuations, evacuated) = watch::channel(Arc::default());
     let (fleet, joined) = watch::channel(Arc::default());
-    let senders = BeliefSenders { declarations, targets, ranges, admissions, evacuations, fleet };
-    let receivers = BeliefReceivers {
+    let senders = StateSenders { declarations, targets, ranges, admissions, evacuations, fleet };
+    let receivers = StateReceivers {
         declarations: declared,
         targets: listed,
         ranges: ranged,
--- a/crates/nickellead_gateway/src/store_era.rs
+++ b/crates/nickellead_gateway/src/store_era.rs
@@ -14,7 +14,7 @@
 
 /// What was odd about an answer's word of the era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OddEra {
+enum InvalidEra {
     /// There is none, and there was one before.
     Missing,
     /// It is no whole number.
@@ -25,7 +25,7 @@
     Jumped,
 }
 
-impl OddEra {
+impl InvalidEra {
     const fn as_str(self) -> &'static str {
         match self {
             Self::Missing => "missing",
@@ -38,7 +38,7 @@
 
 /// The newest era of the store, as one VM's answers tell it.
 #[derive(Debug, Default)]
-pub struct EraWatch {
+pub struct EraMonitor {
     era: Cell<StoreEra>,
     /// When the era last rose; `None` before a second one was told.
     risen: Cell<Option<Instant>>,
@@ -47,7 +47,7 @@
     odd: Cell<u64>,
 }
 
-impl EraWatch {
+impl EraMonitor {
     /// The newest era; 0 before one is told.
     #[must_use]
     pub fn era(&self) -> StoreEra {
@@ -71,17 +71,17 @@
     pub fn note(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
         let Some(word) = word else {
             if self.is_told.get() {
-                self.count(OddEra::Missing, sent_in);
+                self.count(InvalidEra::Missing, sent_in);
             }
             return sent_in;
         };
         let Some(told) = read_era(word) else {
-            self.count(OddEra::Unreadable, sent_in);
+            self.count(InvalidEra::Unreadable, sent_in);
             return sent_in;
         };
         let known = self.era.get();
         if told < sent_in {
-            self.count(OddEra::Fallen, told);
+            self.count(InvalidEra::Fallen, told);
             return sent_in;
         }
         if told <= known {
@@ -89,7 +89,7 @@
         }
         if self.is_told.replace(true) {
             if told.0 - known.0 > 1 {
-                self.count(OddEra::Jumped, told);
+                self.count(InvalidEra::Jumped, told);
             }
             if told.0 - known.0 > RISE_MOST {
                 return sent_in;
@@ -100,7 +100,7 @@
         told
     }
 
-    fn count(&self, odd: OddEra, told: StoreEra) {
+    fn count(&self, odd: InvalidEra, told: StoreEra) {
         self.odd.set(self.odd.get() + 1);
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
             [("reason", &odd.as_str()), ("told", &told), ("known", &self.era.get())];
--- a/crates/nickellead_gateway/src/follow.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -55,7 +55,7 @@
 const TELLER_FACTOR: f64 = 0.6;
 
 /// What following needs.
-pub(crate) struct Follower<S> {
+pub(crate) struct StoreWatcher<S> {
     pub(crate) store: Rc<S>,
     pub(crate) health: Rc<StoreHealth>,
     pub(crate) book: Rc<BeliefBook>,
@@ -64,7 +64,7 @@
     pub(crate) follows_evacuations: bool,
 }
 
-impl<S> Clone for Follower<S> {
+impl<S> Clone for StoreWatcher<S> {
     fn clone(&self) -> Self {
         Self {
             store: Rc::clone(&self.store),
@@ -77,7 +77,7 @@
 }
 
 /// What a step of following led to.
-enum FollowStep {
+enum WatchStep {
     /// Go on at once.
     Continue,
     /// Go on after this time: what changes meanwhile is read by one call.
@@ -86,7 +86,7 @@
     ReadAnew,
 }
 
-impl<S: StorePort> Follower<S> {
+impl<S: StorePort> StoreWatcher<S> {
     /// Follows all three parts for as long as the process lives.
     pub(crate) fn start(&self) {
         let follower = self.clone();
@@ -112,7 +112,7 @@
     /// Repeats a step while this VM follows the store.
     async fn run<F>(&self, mut step: impl FnMut(bool) -> F)
     where
-        F: Future<Output = Result<FollowStep, StoreError>>,
+        F: Future<Output = Result<WatchStep, StoreError>>,
     {
         let mut anew = false;
         let mut led = false;
@@ -130,9 +130,9 @@
             };
             anew = false;
             match stepped {
-                Ok(FollowStep::Continue) => {}
-                Ok(FollowStep::After(pause)) => tokio::time::sleep(pause).await,
-                Ok(FollowStep::ReadAnew) => anew = true,
+                Ok(WatchStep::Continue) => {}
+                Ok(WatchStep::After(pause)) => tokio::time::sleep(pause).await,
+                Ok(WatchStep::ReadAnew) => anew = true,
                 Err(StoreError::Forgotten) => {
                     anew = true;
                     let last = forgotten.replace(Instant::now());
@@ -158,13 +158,13 @@
         tokio::time::sleep(RETURN_SPREAD.mul_f64(fastrand::f64())).await;
     }
 
-    async fn step_declarations(&self, anew: bool) -> Result<FollowStep, StoreError> {
+    async fn step_declarations(&self, anew: bool) -> Result<WatchStep, StoreError> {
         let known = self.book.known().declarations.filter(|_| !anew);
         let result = match known {
             None => self.store.declarations().await,
             Some(from) => match self.watch_declarations(from).await? {
                 Some(snapshot) => Ok(snapshot),
-                None => return Ok(FollowStep::Continue),
+                None => return Ok(WatchStep::Continue),
             },
         };
         self.health.note(&result);
@@ -173,7 +173,7 @@
         self.book.note_declarations(snapshot.as_of, snapshot.value);
         // A full read that follows a silent watch brings nothing new, and waits for nothing.
         let changed = changed && known.is_some();
-        Ok(if changed { FollowStep::After(DECLARATION_PAUSE) } else { FollowStep::Continue })
+        Ok(if changed { WatchStep::After(DECLARATION_PAUSE) } else { WatchStep::Continue })
     }
 
     /// Waits for newer declarations, and reads them now and then besides: the watch goes on, for
@@ -224,42 +224,42 @@
         }
     }
 
-    async fn step_targets(&self, anew: bool) -> Result<FollowStep, StoreError> {
+    async fn step_targets(&self, anew: bool) -> Result<WatchStep, StoreError> {
         match self.book.known().targets.filter(|_| !anew) {
             None => {
                 let result = self.store.targets().await;
                 self.health.note(&result);
                 let list = result?;
                 self.book.note_all_targets(list.as_of, list.value, self.lapse_end());
-                Ok(FollowStep::After(self.target_pause()))
+                Ok(WatchStep::After(self.target_pause()))
             }
             Some(from) => self.watch_targets(from).await,
         }
     }
 
-    async fn watch_targets(&self, from: Revision) -> Result<FollowStep, StoreError> {
+    async fn watch_targets(&self, from: Revision) -> Result<WatchStep, StoreError> {
         let watching = self.store.watch_targets(from, WATCH_WAIT);
         let result = match tokio::time::timeout(self.check_time(LISTS_CHECK), watching).await {
             Ok(result) => result,
-            Err(_) => return Ok(FollowStep::ReadAnew),
+            Err(_) => return Ok(WatchStep::ReadAnew),
         };
         self.health.note(&result);
         let changes = result?;
         if self.book.known().targets.is_some_and(|known| known != from) {
             // Another source was faster: these changes may stand behind what is known.
-            return Ok(FollowStep::ReadAnew);
+            return Ok(WatchStep::ReadAnew);
         }
         let changed = !changes.value.is_empty();
         self.book.note_target_changes(changes.as_of, changes.value, self.lapse_end());
-        Ok(if changed { FollowStep::After(self.target_pause()) } else { FollowStep::Continue })
+        Ok(if changed { WatchStep::After(self.target_pause()) } else { WatchStep::Continue })
     }
 
-    async fn step_ranges(&self, anew: bool) -> Result<FollowStep, StoreError> {
+    async fn step_ranges(&self, anew: bool) -> Result<WatchStep, StoreError> {
         if self.relay.leads() {
             // Nobody else writes the map: what this VM writes it tells the book itself, and a late
             // write of a predecessor would make its next one fail.
             self.relay.leads_no_more().await;
-            return Ok(FollowStep::ReadAnew);
+            return Ok(WatchStep::ReadAnew);
         }
         let known = self.book.known().ranges.filter(|_| !anew);
         let result = match known {
@@ -268,7 +268,7 @@
                 let watching = self.store.watch_ranges(from, WATCH_WAIT);
                 match tokio::time::timeout(self.check_time(LISTS_CHECK), watching).await {
                     Ok(result) => result,
-                    Err(_) => return Ok(FollowStep::ReadAnew),
+                    Err(_) => return Ok(WatchStep::ReadAnew),
                 }
             }
         };
@@ -276,19 +276,19 @@
         let snapshot = result?;
         let changed = snapshot.value.is_some();
         self.book.note_ranges(snapshot.as_of, snapshot.value);
-        Ok(if changed { FollowStep::After(RANGE_PAUSE_ALONE) } else { FollowStep::Continue })
+        Ok(if changed { WatchStep::After(RANGE_PAUSE_ALONE) } else { WatchStep::Continue })
     }
 
     /// Lists the evacuated zones, and then again whenever one begins or ends: the list is short, and a
     /// change that only a list shows is not missed.
-    async fn step_evacuations(&self, anew: bool) -> Result<FollowStep, StoreError> {
+    async fn step_evacuations(&self, anew: bool) -> Result<WatchStep, StoreError> {
         if let Some(from) = self.book.known().evacuations.filter(|_| !anew) {
             let watching = self.store.watch_evacuations(from, WATCH_WAIT);
             let check = self.check_time(EVACUATIONS_CHECK);
             if let Ok(watched) = tokio::time::timeout(check, watching).await {
                 self.health.note(&watched);
                 if !watched?.value {
-                    return Ok(FollowStep::Continue);
+                    return Ok(WatchStep::Continue);
                 }
             }
         }
@@ -296,7 +296,7 @@
         self.health.note(&result);
         let Snapshot { as_of, value } = result?;
         self.book.note_evacuations(Stored { revision: as_of, value });
-        Ok(FollowStep::Continue)
+        Ok(WatchStep::Continue)
     }
 
     fn check_time(&self, time: Duration) -> Duration {
--- a/crates/nickellead_gateway/src/roster.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -18,8 +18,8 @@
 use crate::connections::SharedPool;
 use crate::evacuation::ZoneStates;
 use crate::fleet::FleetTable;
-use crate::load_count::VmMark;
-use crate::targets::life_of;
+use crate::load_counter::VmId;
+use crate::targets::instance_of;
 use crate::{ColdRule, ColdSettings, ServiceRule, TargetEntry, TargetList, TargetState};
 
 /// What an unknown target is taken to need for an answer, until it has shown it.
@@ -55,10 +55,10 @@
 const FALLEN_MOST: usize = 3;
 
 /// Kept by all who ask one life of a target, and beyond the time that it is listed.
-pub(crate) type SharedSigns = Rc<Cell<TargetSigns>>;
+pub(crate) type SharedSignals = Rc<Cell<TargetSigns>>;
 
 /// One target with what this VM has learned of it.
-pub(crate) struct TargetMember {
+pub(crate) struct RegisteredTarget {
     pub(crate) id: String,
     pub(crate) born: Option<u64>,
     pub(crate) address: SocketAddr,
@@ -75,7 +75,7 @@
     /// Until when it is left out because it refused a connection.
     down_until: Cell<Timestamp>,
     /// What it told this VM of itself.
-    pub(crate) signs: SharedSigns,
+    pub(crate) signs: SharedSignals,
     /// What the mandate's holder told of its limit.
     told_limit: Cell<ToldLimit>,
     /// This VM's part of its limit.
@@ -91,7 +91,7 @@
 
 /// Members by what they told this VM of themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct SignCounts {
+pub(crate) struct SignalCounts {
     /// They leave.
     pub(crate) leaving: i64,
     /// They want nothing now.
@@ -103,9 +103,9 @@
 /// Requests under way at a member, counted also when their future is dropped.
 ///
 /// Its end wakes a request that waits for the target, and one that waits for any of the service.
-pub(crate) struct RunningGuard(Rc<TargetMember>, Rc<TurnQueue>);
+pub(crate) struct InFlightGuard(Rc<RegisteredTarget>, Rc<TurnQueue>);
 
-impl TargetMember {
+impl RegisteredTarget {
     /// Whether one more request may be sent now.
     pub(crate) fn has_room(&self) -> bool {
         self.limit.get().has_room(self.score.borrow().running)
@@ -154,7 +154,7 @@
 
     /// This life of it.
     pub(crate) fn life(&self) -> HolderRecord {
-        life_of(&self.id, self.born, self.address)
+        instance_of(&self.id, self.born, self.address)
     }
 
     /// Whether it refused this VM a connection a moment ago.
@@ -212,14 +212,14 @@
     }
 }
 
-impl RunningGuard {
-    pub(crate) fn new(member: &Rc<TargetMember>, service: &Rc<TurnQueue>) -> Self {
+impl InFlightGuard {
+    pub(crate) fn new(member: &Rc<RegisteredTarget>, service: &Rc<TurnQueue>) -> Self {
         member.score.borrow_mut().running += 1;
         Self(Rc::clone(member), Rc::clone(service))
     }
 }
 
-impl Drop for RunningGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         {
             let mut score = self.0.score.borrow_mut();
@@ -231,14 +231,14 @@
 }
 
 /// What decides which targets get requests, beside their entries.
-pub(crate) struct RosterRules<'a> {
+pub(crate) struct RegistryRules<'a> {
     pub(crate) services: &'a BTreeMap<String, ServiceRule>,
     pub(crate) bounds: Option<ColdSettings>,
     pub(crate) fleet: &'a FleetTable,
     pub(crate) zones: &'a ZoneStates,
 }
 
-impl RosterRules<'_> {
+impl RegistryRules<'_> {
     /// What the targets of a service bear while they are cold, if that is bounded.
     fn cold_rule(&self, service: &str) -> Option<ColdRule> {
         self.bounds.and(self.services.get(service)?.cold)
@@ -250,7 +250,7 @@
     }
 
     /// This VM's share of what a target bears while it is cold.
-    fn cold_share(&self, vm: VmMark, entry: &TargetEntry) -> ColdShare {
+    fn cold_share(&self, vm: VmId, entry: &TargetEntry) -> ColdShare {
         let (Some(bounds), Some(rule)) = (self.bounds, self.cold_rule(&entry.service)) else {
             return ColdShare::Unbounded;
         };
@@ -268,29 +268,29 @@
 
 /// All members by service and by identity.
 #[derive(Default)]
-pub(crate) struct TargetRoster {
+pub(crate) struct TargetRegistry {
     vm: String,
     zone: String,
-    by_id: HashMap<String, Rc<TargetMember>>,
-    by_service: HashMap<String, Vec<Rc<TargetMember>>>,
+    by_id: HashMap<String, Rc<RegisteredTarget>>,
+    by_service: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// What lives told of themselves that are not listed now: they may be listed once more.
-    unlisted_signs: HashMap<HolderRecord, SharedSigns>,
+    unlisted_signs: HashMap<HolderRecord, SharedSignals>,
     /// This VM's part of each service.
-    subsets: HashMap<String, Vec<Rc<TargetMember>>>,
+    subsets: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// Services of which this VM's part is smaller than it would be on a small fleet.
     shared_out: HashSet<String>,
 }
 
-impl TargetRoster {
+impl TargetRegistry {
     /// A roster without members.
     pub(crate) fn new(vm: String, zone: String) -> Self {
         Self { vm, zone, ..Self::default() }
     }
 
     /// The roster of a new list; members that stay keep what was learned.
-    pub(crate) fn rebuild(&self, list: &TargetList, rules: &RosterRules<'_>) -> Self {
+    pub(crate) fn rebuild(&self, list: &TargetList, rules: &RegistryRules<'_>) -> Self {
         let now = BootClock.now();
-        let mark = VmMark::of(&self.vm, &self.zone);
+        let mark = VmId::of(&self.vm, &self.zone);
         let sharers = rules.fleet.sharers(mark);
         let mut roster = Self::new(self.vm.clone(), self.zone.clone());
         for entry in list.values() {
@@ -335,8 +335,8 @@
     }
 
     /// The member of an entry; another life of a target is another member.
-    fn member_of(&self, entry: &TargetEntry, now: Timestamp) -> Rc<TargetMember> {
-        let rank = VmMark::of(&self.vm, &self.zone).rank(&entry.id);
+    fn member_of(&self, entry: &TargetEntry, now: Timestamp) -> Rc<RegisteredTarget> {
+        let rank = VmId::of(&self.vm, &self.zone).rank(&entry.id);
         let known = self.by_id.get(&entry.id);
         match known.filter(|one| one.address == entry.address && one.born == entry.born) {
             Some(member) => {
@@ -362,12 +362,12 @@
     }
 
     /// The members of a service that take requests.
-    pub(crate) fn members(&self, service: &str) -> &[Rc<TargetMember>] {
+    pub(crate) fn members(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// This VM's part of a service's members.
-    pub(crate) fn subset(&self, service: &str) -> &[Rc<TargetMember>] {
+    pub(crate) fn subset(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.subsets.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -385,7 +385,7 @@
     }
 
     /// The member that is this holder of keys, if it takes requests.
-    pub(crate) fn find(&self, holder: &HolderRecord) -> Option<&Rc<TargetMember>> {
+    pub(crate) fn find(&self, holder: &HolderRecord) -> Option<&Rc<RegisteredTarget>> {
         let member = self.by_id.get(&holder.id)?;
         let same = member.born == holder.born;
         (same && member.state.get() == TargetState::Ready).then_some(member)
@@ -396,7 +396,7 @@
     /// Its entry tells so, but not while it is cut off from the store. Several in one zone at once are
     /// rather cut off from this VM, and then to reckon with cold ones would leave the zone unused after
     /// the cut. An owner of keys that starts again holds none until its entry is known.
-    pub(crate) fn note_down(&self, member: &TargetMember, now: Timestamp) {
+    pub(crate) fn note_down(&self, member: &RegisteredTarget, now: Timestamp) {
         member.note_down(now);
         let Some(rule) = member.cold_rule.get().filter(|_| !member.divided.get()) else { return };
         let in_zone = self.by_id.values().filter(|one| one.zone == member.zone);
@@ -406,8 +406,8 @@
     }
 
     /// How many members told what still counts.
-    pub(crate) fn count_signs(&self, now: Timestamp) -> SignCounts {
-        let mut counts = SignCounts::default();
+    pub(crate) fn count_signs(&self, now: Timestamp) -> SignalCounts {
+        let mut counts = SignalCounts::default();
         for signs in self.by_id.values().map(|member| member.signs.get()) {
             counts.leaving += i64::from(signs.leaving_since().is_some());
             counts.paused += i64::from(signs.is_paused(now));
@@ -424,13 +424,13 @@
 
 /// This VM's part of a service: near and far members, and the cold ones that it helps to warm.
 fn choose_subset(
-    vm: VmMark,
+    vm: VmId,
     zone: &str,
-    members: &[Rc<TargetMember>],
+    members: &[Rc<RegisteredTarget>],
     fleet: &FleetTable,
     now: Timestamp,
-) -> Vec<Rc<TargetMember>> {
-    let is_bounded = |member: &&Rc<TargetMember>| member.cold.is_bounded(now);
+) -> Vec<Rc<RegisteredTarget>> {
+    let is_bounded = |member: &&Rc<RegisteredTarget>| member.cold.is_bounded(now);
     let (cold, warm): (Vec<_>, Vec<_>) = members.iter().partition(is_bounded);
     let warmed = cold.into_iter().filter(|member| member.cold.sends());
     let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|member| member.zone == zone);
@@ -447,11 +447,11 @@
 
 /// An even part of the members for one of `vms` VMs.
 fn even_members(
-    mut members: Vec<&Rc<TargetMember>>,
+    mut members: Vec<&Rc<RegisteredTarget>>,
     place: usize,
     vms: usize,
     most: usize,
-) -> Vec<&Rc<TargetMember>> {
+) -> Vec<&Rc<RegisteredTarget>> {
     members.sort_by_cached_key(|member| xxhash_rust::xxh3::xxh3_64(member.id.as_bytes()));
     let slots = members.iter().map(|member| member.slots).sum();
     let size = part_size(slots, vms, members.len(), MEMBERS_LEAST, most);
@@ -461,19 +461,24 @@
 /// The members with the highest hash of VM and target: a VM that does not know the fleet takes others than
 /// most VMs do, and a member that comes or goes changes few of them.
 fn ranked_members(
-    vm: VmMark,
-    mut members: Vec<&Rc<TargetMember>>,
+    vm: VmId,
+    mut members: Vec<&Rc<RegisteredTarget>>,
     most: usize,
-) -> Vec<&Rc<TargetMember>> {
+) -> Vec<&Rc<RegisteredTarget>> {
     members.sort_by_cached_key(|member| vm.rank(&member.id));
     members.truncate(most);
     members
 }
 
 /// `rank` is this VM's rank for the target.
-fn new_member(entry: &TargetEntry, signs: SharedSigns, rank: u64, now: Timestamp) -> TargetMember {
+fn new_member(
+    entry: &TargetEntry,
+    signs: SharedSignals,
+    rank: u64,
+    now: Timestamp,
+) -> RegisteredTarget {
     let phase = rank as f64 / u64::MAX as f64;
-    TargetMember {
+    RegisteredTarget {
         id: entry.id.clone(),
         born: entry.born,
         address: entry.address,
--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -47,12 +47,12 @@
 
     /// This life of it, as an owner of keys.
     pub(crate) fn holder(&self) -> HolderRecord {
-        life_of(&self.id, self.born, self.address)
+        instance_of(&self.id, self.born, self.address)
     }
 }
 
 /// A life of a target, as an owner of keys.
-pub(crate) fn life_of(id: &str, born: Option<u64>, address: SocketAddr) -> HolderRecord {
+pub(crate) fn instance_of(id: &str, born: Option<u64>, address: SocketAddr) -> HolderRecord {
     HolderRecord { id: id.to_owned(), born, address: address.to_string() }
 }
 
--- a/crates/nickellead_gateway/src/worker/answers.rs
+++ b/crates/nickellead_gateway/src/worker/answers.rs
@@ -10,9 +10,9 @@
 use nickellead_proxy::{error_response, is_connection_header};
 
 use super::{RequestWorker, WorkerBeliefs};
-use crate::RoutePart;
-use crate::exchange::TargetAnswer;
-use crate::incoming::PlannedRequest;
+use crate::WeightedService;
+use crate::exchange::TargetResponse;
+use crate::incoming::IncomingRequest;
 
 /// A caller whose answer can't be in time any more is asked to come back after this part of the time
 /// that it has left: most callers come back twice, and by then the rush may be over.
@@ -57,9 +57,9 @@
         &self,
         kind: ErrorKind,
         id: &str,
-        planned: Option<&PlannedRequest>,
+        planned: Option<&IncomingRequest>,
     ) -> Response<BoxBody> {
-        self.metrics.count_error(kind, planned.map(PlannedRequest::main_service));
+        self.metrics.count_error(kind, planned.map(IncomingRequest::main_service));
         self.log_failure(id, planned, kind);
         let mut response = error_response(kind);
         let spread = 1.0 - SPREAD / 2.0 + self.rng.borrow_mut().f64() * SPREAD;
@@ -78,7 +78,7 @@
     fn come_back_time(
         &self,
         kind: ErrorKind,
-        planned: Option<&PlannedRequest>,
+        planned: Option<&IncomingRequest>,
     ) -> Option<Duration> {
         let usual = Duration::from_millis(u64::from(kind.answer().retry_after_ms?));
         let Some(planned) = planned.filter(|_| self.policy.come_back_time.is_on()) else {
@@ -97,7 +97,7 @@
     }
 
     /// Logs why a request failed, with the beliefs that decided it and their ages.
-    fn log_failure(&self, id: &str, planned: Option<&PlannedRequest>, kind: ErrorKind) {
+    fn log_failure(&self, id: &str, planned: Option<&IncomingRequest>, kind: ErrorKind) {
         let beliefs = self.beliefs.borrow();
         let code = kind.answer().code;
         let version = beliefs.version.unwrap_or_default();
@@ -131,7 +131,7 @@
     }
 
     /// Logs one in [`ANSWERED_SAMPLE`] answered requests, chosen by the id: the same ones on every VM.
-    pub(super) fn log_sample(&self, id: &str, planned: &PlannedRequest, answer: &TargetAnswer) {
+    pub(super) fn log_sample(&self, id: &str, planned: &IncomingRequest, answer: &TargetResponse) {
         if !xxhash_rust::xxh3::xxh3_64(id.as_bytes()).is_multiple_of(ANSWERED_SAMPLE) {
             return;
         }
@@ -150,15 +150,15 @@
 /// depends on them.
 fn divided_key<'a>(
     beliefs: &WorkerBeliefs,
-    planned: &'a PlannedRequest,
+    planned: &'a IncomingRequest,
 ) -> Option<(&'a str, &'a u16)> {
-    let divided = |part: &&RoutePart| beliefs.is_divided(&part.service);
+    let divided = |part: &&WeightedService| beliefs.is_divided(&part.service);
     let part = planned.route.rule.parts.iter().find(divided)?;
     Some((&part.service, planned.key.as_ref()?))
 }
 
 /// A target's answer as it goes to the caller.
-pub(super) fn pass_on(answer: TargetAnswer) -> Response<BoxBody> {
+pub(super) fn pass_on(answer: TargetResponse) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = Response::build(status);
     for (name, value) in &answer.headers {
--- a/crates/nickellead_gateway/src/worker/choose.rs
+++ b/crates/nickellead_gateway/src/worker/choose.rs
@@ -9,9 +9,9 @@
 use nickellead_time::BootClock;
 
 use super::{RequestWorker, TryState};
-use crate::RoutePart;
-use crate::incoming::PlannedRequest;
-use crate::roster::TargetMember;
+use crate::WeightedService;
+use crate::incoming::IncomingRequest;
+use crate::target_registry::RegisteredTarget;
 use crate::waiting::wait_for;
 
 /// A range without an owner for longer is not on a planned move, which takes about the time of a
@@ -21,19 +21,19 @@
 /// What a look for a target came to.
 enum RoomLook {
     /// It may be sent the request now.
-    Found(Rc<TargetMember>),
+    Found(Rc<RegisteredTarget>),
     /// It has no room now.
-    Full(Rc<TargetMember>),
+    Full(Rc<RegisteredTarget>),
 }
 
 impl RequestWorker {
     /// A target with room, or why none was found in time.
     pub(super) async fn wait_for_turn(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
         state: &TryState,
-    ) -> Result<Rc<TargetMember>, ErrorKind> {
+    ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         loop {
             let member = match self.look_for_room(planned, service, state).await? {
                 RoomLook::Found(member) => return Ok(member),
@@ -60,7 +60,7 @@
     /// A target that may be sent the request now, or one to wait for.
     async fn look_for_room(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
         state: &TryState,
     ) -> Result<RoomLook, ErrorKind> {
@@ -96,8 +96,8 @@
     /// would not be in time, so that waiting is of no use to the caller.
     fn time_for_turn(
         &self,
-        planned: &PlannedRequest,
-        member: &TargetMember,
+        planned: &IncomingRequest,
+        member: &RegisteredTarget,
         ahead: usize,
     ) -> Option<Duration> {
         let limit = member.limit.get();
@@ -134,10 +134,10 @@
     /// The target for the next try, with room or without.
     async fn choose_member(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
         state: &TryState,
-    ) -> Result<Rc<TargetMember>, ErrorKind> {
+    ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         if self.beliefs.borrow().is_divided(service) {
             let key = planned.key.ok_or(ErrorKind::KeyMissing)?;
             return self.wait_for_owner(planned, service, key, state).await;
@@ -146,37 +146,40 @@
     }
 
     /// Whether a member owns keys and wants nothing now: nobody else can serve them.
-    pub(super) fn owner_is_paused(&self, service: &str, member: &TargetMember) -> bool {
+    pub(super) fn owner_is_paused(&self, service: &str, member: &RegisteredTarget) -> bool {
         let divided = self.beliefs.borrow().is_divided(service);
         divided && member.signs.get().is_paused(BootClock.now())
     }
 
     /// How long it takes until a target that could serve a request wants requests again.
-    pub(super) fn pause_left(&self, planned: &PlannedRequest) -> Duration {
+    pub(super) fn pause_left(&self, planned: &IncomingRequest) -> Duration {
         let now = BootClock.now();
         let beliefs = self.beliefs.borrow();
-        let part_pause =
-            |part: &RoutePart| match planned.key.filter(|_| beliefs.is_divided(&part.service)) {
-                Some(key) => {
-                    let range = beliefs.ranges.find(&part.service, key);
-                    let owner = range.and_then(|range| beliefs.roster.find(range.owner.as_ref()?));
-                    owner.map(|owner| owner.signs.get().pause_left(now))
-                }
-                None => {
-                    let members = beliefs.roster.members(&part.service).iter();
-                    members.map(|member| member.signs.get().pause_left(now)).min()
-                }
-            };
+        let part_pause = |part: &WeightedService| match planned
+            .key
+            .filter(|_| beliefs.is_divided(&part.service))
+        {
+            Some(key) => {
+                let range = beliefs.ranges.find(&part.service, key);
+                let owner = range.and_then(|range| beliefs.roster.find(range.owner.as_ref()?));
+                owner.map(|owner| owner.signs.get().pause_left(now))
+            }
+            None => {
+                let members = beliefs.roster.members(&part.service).iter();
+                members.map(|member| member.signs.get().pause_left(now)).min()
+            }
+        };
         planned.route.rule.parts.iter().filter_map(part_pause).min().unwrap_or_default()
     }
 
-    fn balance(&self, service: &str, tried: &[String]) -> Result<Rc<TargetMember>, ErrorKind> {
+    fn balance(&self, service: &str, tried: &[String]) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         let beliefs = self.beliefs.borrow();
         let now = BootClock.now();
         let stay = self.leaving_stay;
-        let usable =
-            |member: &&Rc<TargetMember>| !tried.contains(&member.id) && member.may_send(stay, now);
-        let reached = |member: &&Rc<TargetMember>| {
+        let usable = |member: &&Rc<RegisteredTarget>| {
+            !tried.contains(&member.id) && member.may_send(stay, now)
+        };
+        let reached = |member: &&Rc<RegisteredTarget>| {
             let in_reach = !member.is_down(now) && self.reach.may_try(&member.zone, now);
             usable(member) && in_reach && !member.is_leaving()
         };
@@ -185,7 +188,7 @@
             false => beliefs.roster.members(service),
         };
         let all = beliefs.roster.members(service);
-        let mut fresh: Vec<&Rc<TargetMember>> = part.iter().filter(reached).collect();
+        let mut fresh: Vec<&Rc<RegisteredTarget>> = part.iter().filter(reached).collect();
         let full = !fresh.iter().any(|member| member.has_room());
         if fresh.is_empty() || full && !beliefs.roster.shares_out(service) {
             fresh = all.iter().filter(reached).collect();
@@ -219,11 +222,11 @@
     /// The owner of a key; waits a bounded time while its range moves.
     async fn wait_for_owner(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
         key: u16,
         state: &TryState,
-    ) -> Result<Rc<TargetMember>, ErrorKind> {
+    ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         if self.policy.ownerless_refusal.is_on() && self.lacks_owner_for_long(service, key) {
             return Err(ErrorKind::MoveTooLong);
         }
@@ -258,7 +261,7 @@
     }
 
     /// The settled owner of a key, unless it has just refused this request.
-    fn owner(&self, service: &str, key: u16, state: &TryState) -> Option<Rc<TargetMember>> {
+    fn owner(&self, service: &str, key: u16, state: &TryState) -> Option<Rc<RegisteredTarget>> {
         let beliefs = self.beliefs.borrow();
         let range = beliefs.ranges.find(service, key).filter(|range| range.settled)?;
         let owner = range.owner.as_ref().filter(|owner| !state.misdirected.contains(&owner.id))?;
@@ -271,7 +274,7 @@
 }
 
 /// Why none of a service's targets can be sent a request now.
-fn lacks_target(members: &[Rc<TargetMember>], now: Timestamp) -> ErrorKind {
+fn lacks_target(members: &[Rc<RegisteredTarget>], now: Timestamp) -> ErrorKind {
     let staying = || members.iter().filter(|member| !member.is_leaving());
     if staying().next().is_none() {
         ErrorKind::NoTarget
--- a/crates/nickellead_gateway/src/worker/judge.rs
+++ b/crates/nickellead_gateway/src/worker/judge.rs
@@ -11,10 +11,10 @@
 use super::{NextStep, RequestWorker, TryState};
 use crate::RepeatClass;
 use crate::connections::ConnectFailure;
-use crate::exchange::{LossReason, TargetAnswer, TryEnd, TryResult};
-use crate::incoming::PlannedRequest;
-use crate::roster::TargetMember;
-use crate::target_signs::AnswerSigns;
+use crate::exchange::{AttemptEnd, AttemptResult, LossReason, TargetResponse};
+use crate::incoming::IncomingRequest;
+use crate::response_signals::ResponseSignals;
+use crate::target_registry::RegisteredTarget;
 
 /// VMs that were asked for a pause at the same moment come back spread over this part of it.
 const PAUSE_SPREAD: f64 = 0.1;
@@ -23,38 +23,38 @@
     /// Learns from the outcome of a try and says what follows.
     pub(super) fn judge(
         &self,
-        planned: &PlannedRequest,
-        member: &Rc<TargetMember>,
+        planned: &IncomingRequest,
+        member: &Rc<RegisteredTarget>,
         state: &mut TryState,
-        end: TryEnd,
+        end: AttemptEnd,
         length: Duration,
     ) -> NextStep {
-        let TryEnd { result, signs, .. } = end;
+        let AttemptEnd { result, signs, .. } = end;
         self.learn(planned, member, &result, signs, length);
         count_try(state, member, &result);
         if let Some(reason) = retry_reason(&result) {
             log_retry(planned, member, reason);
         }
         match result {
-            TryResult::Answered(answer) if answer.status.is_server_error() => {
+            AttemptResult::Answered(answer) if answer.status.is_server_error() => {
                 after_failure(planned, state, answer)
             }
-            TryResult::Answered(answer) => NextStep::Done(answer),
-            TryResult::Shed
-            | TryResult::Misdirected
-            | TryResult::NotSent(_)
-            | TryResult::Withheld => NextStep::Again,
-            TryResult::Lost(reason) => after_loss(planned, reason),
+            AttemptResult::Answered(answer) => NextStep::Done(answer),
+            AttemptResult::Shed
+            | AttemptResult::Misdirected
+            | AttemptResult::NotSent(_)
+            | AttemptResult::Withheld => NextStep::Again,
+            AttemptResult::Lost(reason) => after_loss(planned, reason),
         }
     }
 
     /// Learns what the outcome of a try says of the target.
     fn learn(
         &self,
-        planned: &PlannedRequest,
-        member: &TargetMember,
-        result: &TryResult,
-        signs: AnswerSigns,
+        planned: &IncomingRequest,
+        member: &RegisteredTarget,
+        result: &AttemptResult,
+        signs: ResponseSignals,
         length: Duration,
     ) {
         let goal = match self.policy.answer_time_limit.is_on() {
@@ -64,14 +64,14 @@
         let now = BootClock.now();
         self.learn_reach(member, result, now);
         match result {
-            TryResult::Answered(answer) if answer.status.is_server_error() => {
+            AttemptResult::Answered(answer) if answer.status.is_server_error() => {
                 member.note_outcome(TargetOutcome::Failed, now);
             }
-            TryResult::Answered(_) => {
+            AttemptResult::Answered(_) => {
                 self.keys.note_answer(&member.id, length, planned.route.rule.latency_target);
                 note_answer(member, length, goal, now);
             }
-            TryResult::Shed => {
+            AttemptResult::Shed => {
                 self.keys.note_lost(&member.id);
                 member.note_refusal();
                 // A pause has its own end, and says nothing of the target's health.
@@ -80,14 +80,14 @@
                 }
             }
             // Its beliefs about keys differ, which says nothing of its health.
-            TryResult::Misdirected | TryResult::Withheld => {}
-            TryResult::NotSent(failure) => {
+            AttemptResult::Misdirected | AttemptResult::Withheld => {}
+            AttemptResult::NotSent(failure) => {
                 if *failure == ConnectFailure::Refused {
                     self.beliefs.borrow().roster.note_down(member, now);
                 }
                 member.note_outcome(TargetOutcome::Broken, now);
             }
-            TryResult::Lost(_) => {
+            AttemptResult::Lost(_) => {
                 self.keys.note_lost(&member.id);
                 member.note_refusal();
                 member.note_outcome(TargetOutcome::Broken, now);
@@ -103,8 +103,8 @@
     pub(super) fn note_signs(
         &self,
         service: &str,
-        member: &TargetMember,
-        signs: AnswerSigns,
+        member: &RegisteredTarget,
+        signs: ResponseSignals,
         sent: Timestamp,
     ) {
         self.metrics.count_signs(signs);
@@ -146,21 +146,21 @@
     }
 
     /// Learns whether the target's zone can be reached.
-    fn learn_reach(&self, member: &TargetMember, result: &TryResult, now: Timestamp) {
+    fn learn_reach(&self, member: &RegisteredTarget, result: &AttemptResult, now: Timestamp) {
         match result {
-            TryResult::NotSent(ConnectFailure::Silent) => {
+            AttemptResult::NotSent(ConnectFailure::Silent) => {
                 self.reach.note_silent(&member.zone, &member.id, now);
             }
-            TryResult::Answered(_) | TryResult::Shed | TryResult::Misdirected => {
+            AttemptResult::Answered(_) | AttemptResult::Shed | AttemptResult::Misdirected => {
                 self.reach.note_answer(&member.zone);
             }
-            TryResult::NotSent(_) | TryResult::Withheld | TryResult::Lost(_) => {}
+            AttemptResult::NotSent(_) | AttemptResult::Withheld | AttemptResult::Lost(_) => {}
         }
     }
 }
 
 /// Learns from an answer: how fast the target is, and that it may take more.
-fn note_answer(member: &TargetMember, length: Duration, goal: Duration, now: Timestamp) {
+fn note_answer(member: &RegisteredTarget, length: Duration, goal: Duration, now: Timestamp) {
     // The try itself has ended and is counted no more.
     let running = member.score.borrow().running + 1;
     member.note_outcome(TargetOutcome::Answered(length), now);
@@ -168,21 +168,21 @@
 }
 
 /// Counts a try that may be followed by another one; the request ends with a good answer.
-fn count_try(state: &mut TryState, member: &TargetMember, result: &TryResult) {
+fn count_try(state: &mut TryState, member: &RegisteredTarget, result: &AttemptResult) {
     state.tried.push(member.id.clone());
     match result {
-        TryResult::Answered(answer) if answer.status.is_server_error() => {
+        AttemptResult::Answered(answer) if answer.status.is_server_error() => {
             state.sent += 1;
             state.may_have_run = true;
         }
-        TryResult::Answered(_) => {}
-        TryResult::Shed => state.sent += 1,
-        TryResult::Misdirected => {
+        AttemptResult::Answered(_) => {}
+        AttemptResult::Shed => state.sent += 1,
+        AttemptResult::Misdirected => {
             state.misdirected.push(member.id.clone());
             state.sent += 1;
         }
-        TryResult::NotSent(_) | TryResult::Withheld => state.unsent += 1,
-        TryResult::Lost(_) => {
+        AttemptResult::NotSent(_) | AttemptResult::Withheld => state.unsent += 1,
+        AttemptResult::Lost(_) => {
             state.sent += 1;
             state.may_have_run = true;
         }
@@ -190,24 +190,28 @@
 }
 
 /// Why a try gave no answer, in the words of the log.
-fn retry_reason(result: &TryResult) -> Option<&'static str> {
+fn retry_reason(result: &AttemptResult) -> Option<&'static str> {
     match result {
-        TryResult::Answered(_) => None,
-        TryResult::Shed => Some("shed"),
-        TryResult::Misdirected => Some("not-owner"),
-        TryResult::NotSent(failure) => Some(failure.as_str()),
-        TryResult::Withheld => Some("withheld"),
-        TryResult::Lost(reason) => Some(reason.as_str()),
+        AttemptResult::Answered(_) => None,
+        AttemptResult::Shed => Some("shed"),
+        AttemptResult::Misdirected => Some("not-owner"),
+        AttemptResult::NotSent(failure) => Some(failure.as_str()),
+        AttemptResult::Withheld => Some("withheld"),
+        AttemptResult::Lost(reason) => Some(reason.as_str()),
     }
 }
 
 /// Whether the request may run more than once.
-fn is_safe(planned: &PlannedRequest) -> bool {
+fn is_safe(planned: &IncomingRequest) -> bool {
     planned.route.rule.repeat == RepeatClass::Safe
 }
 
 /// What follows a failure that the target itself reported.
-fn after_failure(planned: &PlannedRequest, state: &mut TryState, answer: TargetAnswer) -> NextStep {
+fn after_failure(
+    planned: &IncomingRequest,
+    state: &mut TryState,
+    answer: TargetResponse,
+) -> NextStep {
     if !is_safe(planned) {
         return NextStep::Done(answer);
     }
@@ -216,7 +220,7 @@
 }
 
 /// What follows when a request was sent and no usable answer came.
-fn after_loss(planned: &PlannedRequest, reason: LossReason) -> NextStep {
+fn after_loss(planned: &IncomingRequest, reason: LossReason) -> NextStep {
     if is_safe(planned) && reason != LossReason::Late {
         return NextStep::Again;
     }
@@ -228,7 +232,7 @@
 }
 
 /// Logs a try that gave no answer.
-fn log_retry(planned: &PlannedRequest, member: &TargetMember, reason: &str) {
+fn log_retry(planned: &IncomingRequest, member: &RegisteredTarget, reason: &str) {
     let id = String::from_utf8_lossy(planned.outgoing.request_id.as_bytes()).into_owned();
     let pairs: [(&str, &dyn std::fmt::Display); 4] = [
         ("request", &id),
@@ -239,13 +243,13 @@
     log_event(EventName::RequestRetried, &pairs);
 }
 
-fn log_limit(member: &TargetMember, limit: Option<f64>) {
+fn log_limit(member: &RegisteredTarget, limit: Option<f64>) {
     let rate = limit.map_or("none".to_owned(), |rate| rate.to_string());
     let pairs: [(&str, &dyn std::fmt::Display); 2] = [("target", &member.id), ("rate", &rate)];
     log_event(EventName::TargetLimited, &pairs);
 }
 
-fn log_pause(member: &TargetMember, pause: Duration) {
+fn log_pause(member: &RegisteredTarget, pause: Duration) {
     let pairs: [(&str, &dyn std::fmt::Display); 2] =
         [("target", &member.id), ("pause_ms", &pause.as_millis())];
     log_event(EventName::TargetPaused, &pairs);
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -30,17 +30,17 @@
 use tokio::sync::Notify;
 
 use self::answers::pass_on;
-use crate::admission::{AdmissionBelief, AdmissionTable};
+use crate::admission::{AdmissionTable, CachedAdmission};
 use crate::drain::DrainState;
 use crate::evacuation::ZoneStates;
-use crate::exchange::TargetAnswer;
+use crate::exchange::TargetResponse;
 use crate::fleet::FleetTable;
-use crate::incoming::{PlannedRequest, plan_request};
-use crate::load_count::LoadCounter;
+use crate::incoming::{IncomingRequest, read_request};
+use crate::load_counter::LoadCounter;
 use crate::metrics::GatewayMetrics;
-use crate::retry_share::RetryShare;
-use crate::roster::{RosterRules, TargetRoster};
+use crate::retry_budget::RetryBudget;
 use crate::route_table::RouteTable;
+use crate::target_registry::{RegistryRules, TargetRegistry};
 use crate::waiting::wait_for;
 use crate::{
     CallerLimits, ColdSettings, Declarations, EvacuatedZones, HeaderNames, PolicySettings,
@@ -68,16 +68,16 @@
     zones: ZoneStates,
     limits: CallerLimits,
     table: Rc<RouteTable>,
-    roster: TargetRoster,
+    roster: TargetRegistry,
     ranges: Arc<RangeMap>,
-    admissions: AdmissionBelief,
+    admissions: CachedAdmission,
     taken: BeliefTimes,
 }
 
 impl WorkerBeliefs {
     /// Makes the roster anew of what is believed now.
     fn rebuild_roster(&mut self, bounds: Option<ColdSettings>) {
-        let rules = RosterRules {
+        let rules = RegistryRules {
             services: &self.services,
             bounds,
             fleet: &self.fleet,
@@ -121,7 +121,7 @@
     beliefs: RefCell<WorkerBeliefs>,
     /// Woken by every new belief.
     changed: Notify,
-    retries: RefCell<RetryShare>,
+    retries: RefCell<RetryBudget>,
     rng: RefCell<fastrand::Rng>,
     keys: LoadCounter,
     /// Requests that wait for any target of a service.
@@ -152,12 +152,12 @@
     /// Whether a target may have run the request.
     may_have_run: bool,
     /// A failure that a target answered, to be passed on if nothing better comes.
-    answer: Option<TargetAnswer>,
+    answer: Option<TargetResponse>,
 }
 
 /// What follows a try.
 enum NextStep {
-    Done(TargetAnswer),
+    Done(TargetResponse),
     Again,
     Fail(ErrorKind),
 }
@@ -173,9 +173,9 @@
             zones: ZoneStates::default(),
             limits: CallerLimits::default(),
             table: Rc::default(),
-            roster: TargetRoster::new(parts.vm, parts.zone.clone()),
+            roster: TargetRegistry::new(parts.vm, parts.zone.clone()),
             ranges: Arc::default(),
-            admissions: AdmissionBelief::new(Arc::default()),
+            admissions: CachedAdmission::new(Arc::default()),
             taken: BeliefTimes { declarations: started, targets: started, ranges: started },
         };
         Rc::new(Self {
@@ -183,7 +183,7 @@
             zone: parts.zone,
             beliefs: RefCell::new(beliefs),
             changed: Notify::new(),
-            retries: RefCell::new(RetryShare::new(parts.retry_burst)),
+            retries: RefCell::new(RetryBudget::new(parts.retry_burst)),
             rng: RefCell::new(fastrand::Rng::new()),
             keys: parts.keys,
             queues: RefCell::default(),
@@ -266,7 +266,7 @@
     pub(crate) fn set_admissions(&self, admissions: Arc<AdmissionTable>) {
         let mut beliefs = self.beliefs.borrow_mut();
         beliefs.roster.note_told_limits(&admissions);
-        beliefs.admissions = AdmissionBelief::new(admissions);
+        beliefs.admissions = CachedAdmission::new(admissions);
     }
 
     /// Answers one request of a caller.
@@ -281,9 +281,9 @@
             let beliefs = self.beliefs.borrow();
             (Rc::clone(&beliefs.table), beliefs.limits)
         };
-        let planned = match plan_request(request, &self.names, limits, &table).await {
+        let planned = match read_request(request, &self.names, limits, &table).await {
             Ok(planned) if self.policy.caller_age.is_on() => planned,
-            Ok(planned) => PlannedRequest { age: Duration::ZERO, ..planned },
+            Ok(planned) => IncomingRequest { age: Duration::ZERO, ..planned },
             Err(kind) => return self.refuse_unread(kind, &id),
         };
         if self.drain.would_cut(planned.until) {
--- a/crates/nickellead_gateway/src/worker/tries.rs
+++ b/crates/nickellead_gateway/src/worker/tries.rs
@@ -8,16 +8,19 @@
 use nickellead_time::BootClock;
 
 use super::{NextStep, RETURN_TIME, RequestWorker, TryState};
-use crate::exchange::{TargetAnswer, TryEnd, TryPlan, try_target};
-use crate::incoming::PlannedRequest;
-use crate::roster::{RunningGuard, TargetMember};
+use crate::exchange::{AttemptEnd, AttemptPlan, TargetResponse, run_attempt};
+use crate::incoming::IncomingRequest;
+use crate::target_registry::{InFlightGuard, RegisteredTarget};
 
 /// Most tries that failed before anything was sent.
 const UNSENT_TRIES: u32 = 4;
 
 impl RequestWorker {
     /// Tries a request until an answer stands, or says why none does.
-    pub(super) async fn serve(&self, planned: &PlannedRequest) -> Result<TargetAnswer, ErrorKind> {
+    pub(super) async fn serve(
+        &self,
+        planned: &IncomingRequest,
+    ) -> Result<TargetResponse, ErrorKind> {
         let part = planned.route.next_part().ok_or(ErrorKind::NoTarget)?;
         self.note_request(planned, &part.service);
         if !self.is_admitted(planned, &part.service) {
@@ -67,7 +70,7 @@
     }
 
     /// Counts a request for the share of further tries, and its key for the spread of load.
-    fn note_request(&self, planned: &PlannedRequest, service: &str) {
+    fn note_request(&self, planned: &IncomingRequest, service: &str) {
         self.retries.borrow_mut().note_request(service);
         if let Some(key) = planned.key
             && self.beliefs.borrow().is_divided(service)
@@ -79,7 +82,7 @@
     /// Whether a request may go to the owner of its key, of which all VMs together send too much.
     ///
     /// Drawn at random, so that the VMs need not know of each other's requests.
-    fn is_admitted(&self, planned: &PlannedRequest, service: &str) -> bool {
+    fn is_admitted(&self, planned: &IncomingRequest, service: &str) -> bool {
         let Some(key) = planned.key.filter(|_| self.policy.shared_admission.is_on()) else {
             return true;
         };
@@ -88,7 +91,7 @@
     }
 
     /// Whether one more try is allowed; if so, it is taken from the service's share of them.
-    fn take_retry(&self, planned: &PlannedRequest, service: &str, state: &TryState) -> bool {
+    fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &TryState) -> bool {
         let within = state.sent < planned.route.rule.attempts && state.unsent < UNSENT_TRIES;
         if !within || planned.left() < RETURN_TIME * 2 {
             return false;
@@ -100,17 +103,21 @@
     /// Tries a request at one target, which counts it as running meanwhile.
     async fn try_member(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
-        member: &Rc<TargetMember>,
-    ) -> TryEnd {
-        let _running = RunningGuard::new(member, &self.queue(service));
+        member: &Rc<RegisteredTarget>,
+    ) -> AttemptEnd {
+        let _running = InFlightGuard::new(member, &self.queue(service));
         let until = planned.until.checked_sub(RETURN_TIME).unwrap_or(planned.until);
-        let plan =
-            TryPlan { member, repeat: planned.route.rule.repeat, stay: self.leaving_stay, until };
+        let plan = AttemptPlan {
+            member,
+            repeat: planned.route.rule.repeat,
+            stay: self.leaving_stay,
+            until,
+        };
         let watch = AbandonWatch { member, since: Instant::now(), armed: true };
         let goal = planned.route.rule.latency_target;
-        let mut trying = std::pin::pin!(try_target(&self.names, &planned.outgoing, &plan));
+        let mut trying = std::pin::pin!(run_attempt(&self.names, &planned.outgoing, &plan));
         let end = match tokio::time::timeout(goal, &mut trying).await {
             Ok(end) => end,
             Err(_) => {
@@ -139,7 +146,7 @@
 }
 
 /// Ends a request that has no answer: a target's own failure goes before ours.
-fn finish(state: TryState, kind: ErrorKind) -> Result<TargetAnswer, ErrorKind> {
+fn finish(state: TryState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
     if let Some(answer) = state.answer {
         return Ok(answer);
     }
@@ -150,7 +157,7 @@
 
 /// Learns from a try that ended because its caller left.
 struct AbandonWatch<'a> {
-    member: &'a Rc<TargetMember>,
+    member: &'a Rc<RegisteredTarget>,
     since: Instant,
     armed: bool,
 }
--- a/crates/nickellead_gateway/tests/common/many_routes.rs
+++ b/crates/nickellead_gateway/tests/common/many_routes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use nickellead_gateway::{Declarations, RepeatClass, RoutePart, RouteRule, SharedRoute};
+use nickellead_gateway::{Declarations, RepeatClass, RouteRule, SharedRoute, WeightedService};
 
 /// A route to one service.
 pub fn route(name: String, host: &str, prefix: &str, weight: f64) -> RouteRule {
@@ -15,7 +15,7 @@
         latency_target: Duration::from_millis(250),
         priority: 1,
         attempts: 2,
-        parts: vec![RoutePart { service: "plain".to_owned(), weight }],
+        parts: vec![WeightedService { service: "plain".to_owned(), weight }],
     }
 }
 
--- a/crates/nickellead_gateway/tests/common/mod.rs
+++ b/crates/nickellead_gateway/tests/common/mod.rs
@@ -16,8 +16,8 @@
 
 use nickellead_gateway::{
     CallerLimits, Declarations, GatewayHandle, GatewaySettings, HeaderNames, OwnershipSettings,
-    PolicySettings, RepeatClass, RoutePart, RouteRule, ServiceRule, SharedRoute, TargetEntry,
-    TargetState, start_gateway,
+    PolicySettings, RepeatClass, RouteRule, ServiceRule, SharedRoute, TargetEntry, TargetState,
+    WeightedService, start_gateway,
 };
 
 use link::PacedLink;
@@ -62,7 +62,7 @@
         latency_target: Duration::from_millis(500),
         priority: 1,
         attempts: 2,
-        parts: vec![RoutePart { service: service.to_owned(), weight: 1.0 }],
+        parts: vec![WeightedService { service: service.to_owned(), weight: 1.0 }],
     }
 }
 
--- a/crates/nickellead_gateway/tests/declared_changes.rs
+++ b/crates/nickellead_gateway/tests/declared_changes.rs
@@ -9,9 +9,9 @@
 use bincode::{Decode, Encode};
 use many_routes::{many, route};
 use nickellead_gateway::{
-    CallerLimits, ChangeError, Declarations, DeclarationsChange, DeclarationsHistory, DeclaredNews,
-    DeclaredStep, HISTORY_BYTES, HISTORY_STEPS, NewsError, Packed, PackedError, ServiceRule,
-    SharedRoute, UNPACKED_LIMIT,
+    CallerLimits, ChangeError, Declarations, DeclarationsChange, DeclarationsHistory, DeclaredStep,
+    DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS, Packed, PackedError, ServiceRule, SharedRoute,
+    UNPACKED_LIMIT, UpdateError,
 };
 use nickellead_peer::{decode, encode};
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -89,14 +89,14 @@
         let Some(newest) = contents.last() else { return true };
         let kept = contents.iter().rev().take(HISTORY_STEPS + 1).skip(1);
         kept.map(|known| &known.0).all(|known| {
-            let news = DeclaredNews::Steps(history.since(known.state()).unwrap());
-            let news: DeclaredNews = decode(&encode(&news).unwrap()).unwrap();
+            let news = DeclaredUpdate::Steps(history.since(known.state()).unwrap());
+            let news: DeclaredUpdate = decode(&encode(&news).unwrap()).unwrap();
             let applied = news.apply(Some(known)).unwrap();
             let mut follower = DeclarationsHistory::default();
             follower.follow(&applied);
             applied.state == newest.0.state()
                 && ordered(&applied.declarations) == ordered(&newest.0)
-                && DeclaredNews::Steps(follower.since(known.state()).unwrap()) == news
+                && DeclaredUpdate::Steps(follower.since(known.state()).unwrap()) == news
         })
     }
 }
@@ -120,9 +120,9 @@
     let mut wrong = change.clone();
     wrong.set[1].attempts += 1;
     assert!(matches!(wrong.apply(&old), Err(ChangeError::WrongResult { .. })));
-    let news = DeclaredNews::Steps(vec![step(&old, &new).packed]);
-    assert!(matches!(news.apply(None), Err(NewsError::NothingKnown)));
-    assert!(matches!(news.apply(Some(&new)), Err(NewsError::Change(_))));
+    let news = DeclaredUpdate::Steps(vec![step(&old, &new).packed]);
+    assert!(matches!(news.apply(None), Err(UpdateError::NothingKnown)));
+    assert!(matches!(news.apply(Some(&new)), Err(UpdateError::Change(_))));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     let (old, new) = (many(1, 3), many(2, 30));
     let mut history = DeclarationsHistory::default();
     history.push(step(&old, &new));
-    let applied = DeclaredNews::Whole(Packed::pack(&old).unwrap()).apply(Some(&new)).unwrap();
+    let applied = DeclaredUpdate::Whole(Packed::pack(&old).unwrap()).apply(Some(&new)).unwrap();
     assert_eq!(applied.declarations, old);
     history.follow(&applied);
     assert_eq!(history.since(new.state()), None);
--- a/crates/nickellead_gateway/tests/requests.rs
+++ b/crates/nickellead_gateway/tests/requests.rs
@@ -10,7 +10,7 @@
 use common::store::MemoryStore;
 use common::target::{Manner, TestTarget, header};
 use common::{TestGateway, declarations, entry, exchange, gateway_of, route, wait_until};
-use nickellead_gateway::{RepeatClass, RoutePart};
+use nickellead_gateway::{RepeatClass, WeightedService};
 
 #[test]
 fn a_request_reaches_a_target_unchanged_and_its_answer_comes_back() {
@@ -141,7 +141,7 @@
         (TestTarget::start("t1", Manner::Serves), TestTarget::start("t2", Manner::Serves));
     let (gateway, store) = gateway_of("vm-split", &[&one]);
     let mut split = declarations(3);
-    let part = |service: &str, weight| RoutePart { service: service.to_owned(), weight };
+    let part = |service: &str, weight| WeightedService { service: service.to_owned(), weight };
     split.services.insert("second".to_owned(), split.services["plain"].clone());
     split.routes[0].parts = vec![part("plain", 90.0), part("second", 10.0)];
     store.list(entry("t2", "second", other.address));
--- a/crates/nickellead_gateway/tests/store_era.rs
+++ b/crates/nickellead_gateway/tests/store_era.rs
@@ -3,25 +3,25 @@
 
 use std::time::Duration;
 
-use nickellead_gateway::{EraWatch, StoreEra};
+use nickellead_gateway::{EraMonitor, StoreEra};
 
 const LATELY: Duration = Duration::from_secs(60);
 
 /// Takes in an answer to a call that was made just now.
-fn note(watch: &EraWatch, word: &str) -> StoreEra {
+fn note(watch: &EraMonitor, word: &str) -> StoreEra {
     watch.note(Some(word.as_bytes()), watch.era())
 }
 
 #[test]
 fn a_store_that_tells_no_eras_has_none() {
-    let watch = EraWatch::default();
+    let watch = EraMonitor::default();
     assert_eq!(watch.note(None, watch.era()), StoreEra(0));
     assert_eq!((watch.era(), watch.odd()), (StoreEra(0), 0));
 }
 
 #[test]
 fn an_era_that_rises_is_known_from_then_on() {
-    let watch = EraWatch::default();
+    let watch = EraMonitor::default();
     assert_eq!(note(&watch, "4"), StoreEra(4));
     assert!(!watch.rose_within(LATELY), "the first word tells of no return");
     assert_eq!(note(&watch, " 5 "), StoreEra(5));
@@ -32,7 +32,7 @@
 /// Guards against: an answer of the era before, which crossed the store's return, is taken for one of the new era.
 #[test]
 fn an_answer_that_crossed_is_of_its_own_era() {
-    let watch = EraWatch::default();
+    let watch = EraMonitor::default();
     note(&watch, "4");
     let sent_in = watch.era();
     note(&watch, "5");
@@ -43,7 +43,7 @@
 /// Guards against: one odd word, and all later answers count as older.
 #[test]
 fn odd_words_are_counted_and_lose_nothing() {
-    let watch = EraWatch::default();
+    let watch = EraMonitor::default();
     note(&watch, "4");
     let odd = ["", "five", "-1", "4.5", "3", "99999999999999999999999", "18446744073709551615"];
     for (place, word) in odd.iter().enumerate() {
