--- a/benches/capacity/news.rs
+++ b/benches/capacity/news.rs
@@ -100,7 +100,7 @@
     let mut new = old.clone();
     new.version += 1;
     let place = new.routes.len() / 2;
-    new.routes[place].parts[0].weight = 0.25;
+    new.routes[place].split[0].weight = 0.25;
     new
 }
 
@@ -112,7 +112,7 @@
     let packed = sink.time("news-whole-pack", || Packed::pack(&copy).unwrap());
     sink.put("news-whole-plain", "bytes", encode(&copy).unwrap().len() as f64);
     sink.put("news-whole", "bytes", packed.len() as f64);
-    let whole = DeclaredUpdate::Whole(packed);
+    let whole = DeclaredUpdate::Full(packed);
     sink.time("news-whole-apply", || whole.apply(None).unwrap());
 }
 
--- a/crates/nickellead_gateway/src/admission.rs
+++ b/crates/nickellead_gateway/src/admission.rs
@@ -21,15 +21,15 @@
     /// Last key, included.
     pub(crate) last: u16,
     /// Part of the requests that may be sent, 0 to 1.
-    pub(crate) share: f32,
+    pub(crate) fraction: f32,
     /// Keys that have a part of their own, in order.
     pub(crate) hot: Vec<(u16, f32)>,
 }
 
 impl AdmissionRange {
     /// The least share of any of its keys.
-    pub(crate) fn least_share(&self) -> f32 {
-        self.hot.iter().map(|(_, share)| *share).fold(self.share, f32::min)
+    pub(crate) fn min_fraction(&self) -> f32 {
+        self.hot.iter().map(|(_, share)| *share).fold(self.fraction, f32::min)
     }
 }
 
@@ -54,7 +54,7 @@
 impl AdmissionTable {
     /// What is told of the limit of a life of a target; the first table of a process, without a word of any
     /// holder, tells nothing.
-    pub(crate) fn limit(&self, target: &str, born: Option<u64>) -> ToldLimit {
+    pub(crate) fn reported_limit(&self, target: &str, born: Option<u64>) -> ToldLimit {
         if self.stamp == AnnouncementStamp::default() {
             return ToldLimit::Unknown;
         }
@@ -63,12 +63,12 @@
     }
 
     /// Part of the requests for a key that may be sent.
-    pub(crate) fn share(&self, service: &str, key: u16) -> f64 {
+    pub(crate) fn fraction(&self, service: &str, key: u16) -> f64 {
         let Some(ranges) = self.services.get(service) else { return 1.0 };
         let place = ranges.partition_point(|range| range.last < key);
         let Some(range) = ranges.get(place).filter(|range| range.first <= key) else { return 1.0 };
         let hot = range.hot.binary_search_by_key(&key, |(hot, _)| *hot);
-        f64::from(hot.map_or(range.share, |place| range.hot[place].1))
+        f64::from(hot.map_or(range.fraction, |place| range.hot[place].1))
     }
 }
 
@@ -76,18 +76,18 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CachedAdmission {
     table: std::sync::Arc<AdmissionTable>,
-    taken: Instant,
+    received_at: Instant,
 }
 
 impl CachedAdmission {
     pub(crate) fn new(table: std::sync::Arc<AdmissionTable>) -> Self {
-        Self { table, taken: Instant::now() }
+        Self { table, received_at: Instant::now() }
     }
 
     /// Part of the requests for a key that may be sent now.
-    pub(crate) fn share(&self, service: &str, key: u16) -> f64 {
-        match self.taken.elapsed() < WORD_LASTS {
-            true => self.table.share(service, key),
+    pub(crate) fn fraction(&self, service: &str, key: u16) -> f64 {
+        match self.received_at.elapsed() < WORD_LASTS {
+            true => self.table.fraction(service, key),
             false => 1.0,
         }
     }
--- a/crates/nickellead_gateway/src/book/declared.rs
+++ b/crates/nickellead_gateway/src/book/declared.rs
@@ -45,7 +45,7 @@
 
     /// Notes that another VM told declarations.
     pub(super) fn note_told(&mut self, applied: &AppliedUpdate) {
-        self.history.follow(applied);
+        self.history.apply_update(applied);
         self.whole = None;
     }
 
@@ -61,7 +61,7 @@
         if self.whole.is_none() {
             self.whole = Packed::pack(newest).map_err(|error| log_untold(newest, &error)).ok();
         }
-        self.whole.clone().map(DeclaredUpdate::Whole)
+        self.whole.clone().map(DeclaredUpdate::Full)
     }
 }
 
--- a/crates/nickellead_gateway/src/book/mod.rs
+++ b/crates/nickellead_gateway/src/book/mod.rs
@@ -379,7 +379,7 @@
 
     /// Whether this life of a target is listed.
     pub(crate) fn lists(&self, life: &HolderRecord) -> bool {
-        self.targets().get(&life.id).is_some_and(|entry| entry.holder() == *life)
+        self.targets().get(&life.id).is_some_and(|entry| entry.instance() == *life)
     }
 
     /// Whether no owner is known to be crowded, and no target to name a limit.
--- a/crates/nickellead_gateway/src/book/targets.rs
+++ b/crates/nickellead_gateway/src/book/targets.rs
@@ -152,7 +152,7 @@
     /// Whether this life of a target is known to have gone before the store came back.
     fn went_before(&self, entry: &TargetEntry, returned: Instant) -> bool {
         let departed = self.departed.get(&entry.id).filter(|_| !self.list.contains_key(&entry.id));
-        departed.is_some_and(|(life, gone)| *life == entry.holder() && *gone <= returned)
+        departed.is_some_and(|(life, gone)| *life == entry.instance() && *gone <= returned)
     }
 
     /// When the next entry that lapsed is taken as gone, or one that was withheld is listed.
@@ -177,7 +177,7 @@
         self.unreadable.remove(&entry.id);
         self.withheld.remove(&entry.id);
         let known = self.list.get(&entry.id);
-        if known.is_some_and(|known| known.has_left(&entry)) {
+        if known.is_some_and(|known| known.left_before(&entry)) {
             entry.state = TargetState::Draining;
         }
         if known == Some(&entry) {
@@ -198,7 +198,7 @@
         if let Some(entry) = self.list.remove(id) {
             let now = Instant::now();
             self.departed.retain(|_, (_, gone)| now - *gone < DEPARTED_TIME);
-            self.departed.insert(id.to_owned(), (entry.holder(), now));
+            self.departed.insert(id.to_owned(), (entry.instance(), now));
             if origin == ChangeOrigin::Store {
                 log_target(id, &entry.service, GONE);
             }
--- a/crates/nickellead_gateway/src/connections.rs
+++ b/crates/nickellead_gateway/src/connections.rs
@@ -65,12 +65,12 @@
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     close: CloseMode,
-    resting: RefCell<Vec<RestingConnection>>,
+    idle: RefCell<Vec<RestingConnection>>,
     opened: Cell<u64>,
     /// Connections in a row that met silence.
-    silences: Cell<u32>,
+    timeouts_in_a_row: Cell<u32>,
     /// When the last connection was tried.
-    tried: Cell<Option<Instant>>,
+    last_attempt: Cell<Option<Instant>>,
 }
 
 /// Why no connection could be had.
@@ -82,7 +82,7 @@
     /// beyond those that it takes.
     Broken,
     /// Nothing answered in time.
-    Silent,
+    TimedOut,
 }
 
 impl ConnectFailure {
@@ -90,7 +90,7 @@
         match self {
             Self::Refused => "connection-refused",
             Self::Broken => "connection-broken",
-            Self::Silent => "connection-silent",
+            Self::TimedOut => "connection-silent",
         }
     }
 }
@@ -108,21 +108,23 @@
         wait: Duration,
         repeat: RepeatClass,
     ) -> Result<ReadyConnection, ConnectFailure> {
-        if let Some(sender) = self.take_resting(repeat) {
+        if let Some(sender) = self.take_idle(repeat) {
             return Ok(ReadyConnection { sender, reused: true });
         }
-        if self.is_out_of_reach() {
-            return Err(ConnectFailure::Silent);
+        if self.is_unreachable() {
+            return Err(ConnectFailure::TimedOut);
         }
-        self.tried.set(Some(Instant::now()));
+        self.last_attempt.set(Some(Instant::now()));
         self.opened.set(self.opened.get() + 1);
         let whole = wait >= CONNECT_TIMEOUT;
         let opening = tokio::time::timeout(wait.min(CONNECT_TIMEOUT), open(address, self.close));
         let opened = opening.await;
         match &opened {
-            Ok(_) => self.silences.set(0),
+            Ok(_) => self.timeouts_in_a_row.set(0),
             // A caller with little time left proves nothing.
-            Err(_) => self.silences.set(self.silences.get().saturating_add(u32::from(whole))),
+            Err(_) => self
+                .timeouts_in_a_row
+                .set(self.timeouts_in_a_row.get().saturating_add(u32::from(whole))),
         }
         match opened {
             Ok(Ok(sender)) => Ok(ReadyConnection { sender, reused: false }),
@@ -130,22 +132,22 @@
                 Err(ConnectFailure::Refused)
             }
             Ok(Err(_)) => Err(ConnectFailure::Broken),
-            Err(_) => Err(ConnectFailure::Silent),
+            Err(_) => Err(ConnectFailure::TimedOut),
         }
     }
 
     /// Whether the last connections met silence and the next one is not due yet.
-    fn is_out_of_reach(&self) -> bool {
-        let waits = self.tried.get().is_some_and(|tried| tried.elapsed() < PROBE_PAUSE);
-        self.silences.get() >= SILENCES_OUT && waits
+    fn is_unreachable(&self) -> bool {
+        let waits = self.last_attempt.get().is_some_and(|tried| tried.elapsed() < PROBE_PAUSE);
+        self.timeouts_in_a_row.get() >= SILENCES_OUT && waits
     }
 
-    fn take_resting(&self, repeat: RepeatClass) -> Option<RequestSender> {
+    fn take_idle(&self, repeat: RepeatClass) -> Option<RequestSender> {
         let most = match repeat {
             RepeatClass::Safe => REST_MAX,
             RepeatClass::Unsafe => REST_UNSAFE,
         };
-        let mut resting = self.resting.borrow_mut();
+        let mut resting = self.idle.borrow_mut();
         resting.retain(|one| one.since.elapsed() < one.rest && !one.sender.is_closed());
         // The freshest are at the end; one whose last answer was just read may not be ready yet.
         let place =
@@ -158,7 +160,7 @@
     /// `rest` is how long the target keeps an idle connection, if it says so.
     pub(crate) fn put(&self, sender: RequestSender, rest: Option<Duration>) {
         let rest = rest.map_or(REST_MAX, |rest| rest.saturating_sub(REST_MARGIN).min(REST_MAX));
-        self.resting.borrow_mut().push(RestingConnection { sender, since: Instant::now(), rest });
+        self.idle.borrow_mut().push(RestingConnection { sender, since: Instant::now(), rest });
     }
 
     /// Connections opened so far.
@@ -168,7 +170,7 @@
 
     /// Closes what rests.
     pub(crate) fn clear(&self) {
-        self.resting.borrow_mut().clear();
+        self.idle.borrow_mut().clear();
     }
 }
 
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -70,22 +70,22 @@
 impl TargetFigures {
     fn note(&mut self, counts: ResponseCounts, now: Timestamp) {
         self.counts = counts;
-        if counts.pause_ms > 0 {
-            let pause = Duration::from_millis(counts.pause_ms.into());
+        if counts.max_pause_ms > 0 {
+            let pause = Duration::from_millis(counts.max_pause_ms.into());
             self.paused_until = self.paused_until.max(now + pause * RETURN_PAUSES);
         }
-        if counts.answered == 0 {
+        if counts.responses == 0 {
             return;
         }
-        let mean = counts.total_ms / f64::from(counts.answered);
-        (0..counts.answered.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.note(mean));
-        self.goal_ms = counts.total_ms / counts.goal_parts.max(f64::EPSILON);
+        let mean = counts.total_ms / f64::from(counts.responses);
+        (0..counts.responses.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.note(mean));
+        self.goal_ms = counts.total_ms / counts.latency_target_ratios.max(f64::EPSILON);
     }
 
     /// Whether it asked for pauses and serves nobody now: one that serves others is overrun, and moves by load
     /// relieve it.
     pub(super) fn is_paused(&self, now: Timestamp) -> bool {
-        now < self.paused_until && self.counts.answered == 0
+        now < self.paused_until && self.counts.responses == 0
     }
 
     /// The report of the last period, for an owner with these slots and this demand a second.
@@ -93,8 +93,8 @@
         let millis = self.unhurried.millis();
         let known = self.unhurried.answers() > 0 && millis > 0.0;
         OwnerReport {
-            answered: self.counts.answered,
-            goal_parts: self.counts.goal_parts,
+            answered: self.counts.responses,
+            goal_parts: self.counts.latency_target_ratios,
             demand,
             unhurried_rate: known.then(|| f64::from(slots) * 1_000.0 / millis),
             unhurried_part: if known { millis / self.goal_ms.max(f64::EPSILON) } else { 0.0 },
@@ -154,7 +154,7 @@
         }
         let word = self.admission_word.get() + 1;
         self.admission_word.set(word);
-        let stamp = AnnouncementStamp { term, word };
+        let stamp = AnnouncementStamp { term, sequence: word };
         self.book.note_admissions(AdmissionTable { stamp, services, limits });
     }
 
@@ -183,7 +183,7 @@
         let owners = owned.into_iter();
         let limited = owners.flat_map(|(owner, ranges)| self.limit_owner(owner, &ranges, load));
         let mut limited: Vec<AdmissionRange> = limited.collect();
-        limited.sort_by(|a, b| a.least_share().total_cmp(&b.least_share()));
+        limited.sort_by(|a, b| a.min_fraction().total_cmp(&b.min_fraction()));
         limited.truncate(RANGES_TOLD);
         limited.sort_by_key(|range| range.first);
         limited
@@ -228,10 +228,10 @@
     let ranges = ranges.iter().map(|range| AdmissionRange {
         first: range.first,
         last: range.last,
-        share: shares.light as f32,
+        fraction: shares.light as f32,
         hot: hot_of(range),
     });
-    ranges.filter(|range| range.least_share() < 1.0).collect()
+    ranges.filter(|range| range.min_fraction() < 1.0).collect()
 }
 
 fn log_limit(owner: &str, rate: Option<f64>, demand: f64, figures: &TargetFigures) {
@@ -242,7 +242,7 @@
         ("target", &owner),
         ("rate", &rate),
         ("demand", &demand),
-        ("answered", &figures.counts.answered),
+        ("answered", &figures.counts.responses),
         ("lost", &figures.counts.lost),
         ("unhurried_ms", &unhurried),
     ];
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -30,8 +30,8 @@
         let Some(declared) = self.book.declarations() else {
             return Vec::new();
         };
-        self.zones.borrow_mut().take(&self.book.evacuations().value, BootClock.now());
-        let divided = declared.services.iter().filter(|(_, rule)| rule.divided);
+        self.zones.borrow_mut().update(&self.book.evacuations().value, BootClock.now());
+        let divided = declared.services.iter().filter(|(_, rule)| rule.sharded);
         let speeds = match self.policy.measured_speeds.is_on() {
             true => self.known_speeds(),
             false => HashMap::new(),
@@ -57,15 +57,15 @@
         let now = BootClock.now();
         let is_open = |target: &&TargetEntry| {
             let ready = target.service == service && target.state == TargetState::Ready;
-            let leaves = !leaving.is_empty() && leaving.contains(&target.holder());
+            let leaves = !leaving.is_empty() && leaving.contains(&target.instance());
             ready && !leaves && !zones.is_evacuated(&target.zone)
         };
         let open: Vec<&TargetEntry> = targets.values().filter(is_open).collect();
         let open = self.without_paused(open, now);
         let Some(cold) = self.cold.and(rule.cold) else { return open };
         let is_warm = |target: &TargetEntry| {
-            let returned = zones.returned(&target.zone);
-            let turned = returned.is_some_and(|since| now.since(since) < cold.length);
+            let returned = zones.returned_at(&target.zone);
+            let turned = returned.is_some_and(|since| now.since(since) < cold.duration);
             !turned && self.book.cold_left(target).is_zero()
         };
         unless_too_few(open, WARM_PART_LEAST, is_warm)
@@ -108,7 +108,7 @@
             _ => 1.0,
         };
         let candidate = |target: &&TargetEntry| {
-            let holder = target.holder();
+            let holder = target.instance();
             let most = self.borne_load(&holder);
             let capacity = f64::from(target.slots.max(1)) * factor(target);
             OwnerCandidate { holder, capacity, most }
--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -39,7 +39,7 @@
             return;
         }
         self.fleet_word.set(Some(FleetWord { term, since: now }));
-        let word = if known.stamp.term == term { known.stamp.word + 1 } else { 1 };
-        self.book.note_fleet(FleetTable { stamp: AnnouncementStamp { term, word }, vms });
+        let word = if known.stamp.term == term { known.stamp.sequence + 1 } else { 1 };
+        self.book.note_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence: word }, vms });
     }
 }
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -42,7 +42,7 @@
 impl HeardLimit {
     /// Takes in what answers said since the last look.
     fn note(&mut self, counts: LimitCounts, now: Timestamp) {
-        if let Some(rate) = counts.least {
+        if let Some(rate) = counts.min_limit {
             (self.rate, self.heard, self.over) = (rate, now, None);
         } else if self.over.is_none() && now.since(self.heard) >= LIMIT_SETTLES {
             self.over = Some(now);
@@ -73,7 +73,7 @@
         let now = BootClock.now();
         let mut limits = self.limits.borrow_mut();
         for (life, new) in counts {
-            match (limits.get_mut(&life), new.least) {
+            match (limits.get_mut(&life), new.min_limit) {
                 (Some(known), _) => known.note(new, now),
                 (None, Some(rate)) => {
                     limits.insert(life, HeardLimit { rate, heard: now, over: None, ends: 0 });
--- a/crates/nickellead_gateway/src/control/loads.rs
+++ b/crates/nickellead_gateway/src/control/loads.rs
@@ -40,7 +40,7 @@
         }
         drop((loads, recent));
         self.note_reporters(counts.vms);
-        self.note_answers(counts.answers);
+        self.note_answers(counts.responses);
         self.note_limits(counts.limits);
     }
 
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -48,7 +48,7 @@
         }
         let Ok(holder) = duty.read_mandate().await else {
             duty.end_seeking(started);
-            duty.health.pause().await;
+            duty.health.backoff().await;
             continue;
         };
         if duty.mandate.borrow().is_absent() && !std::mem::replace(&mut spread, true) {
@@ -150,12 +150,12 @@
     async fn read_mandate(&self) -> Result<Option<SocketAddr>, StoreError> {
         let may_take = self.mandate.borrow().due_write(BootClock.now()).is_some()
             // While the store is away the cheapest call finds out when it is back.
-            && !self.health.is_lost();
+            && !self.health.is_unavailable();
         let read = match may_take {
             true => self.store.mandate().await,
-            false => self.store.mandate_maybe_old().await,
+            false => self.store.mandate_cached().await,
         };
-        self.health.note(&read);
+        self.health.record(&read);
         match &read {
             Ok(_) => self.mandate.borrow_mut().note_reached(BootClock.now()),
             Err(_) => self.mandate.borrow_mut().note_unreached(BootClock.now()),
@@ -178,9 +178,9 @@
         let until = Instant::now() + wait;
         while Instant::now() + PROBE_PERIOD < until {
             tokio::time::sleep(PROBE_PERIOD).await;
-            let probe = tokio::time::timeout(PROBE_TIME, self.store.mandate_maybe_old()).await;
-            let probe = probe.unwrap_or(Err(StoreError::Silent("probe".to_owned())));
-            self.health.note(&probe);
+            let probe = tokio::time::timeout(PROBE_TIME, self.store.mandate_cached()).await;
+            let probe = probe.unwrap_or(Err(StoreError::NoResponse("probe".to_owned())));
+            self.health.record(&probe);
         }
         tokio::time::sleep_until(until.into()).await;
     }
@@ -201,7 +201,7 @@
         };
         let sent = BootClock.now();
         let answer = self.store.write_mandate(write.expected, &write.record).await;
-        self.health.note(&answer);
+        self.health.record(&answer);
         let taken = self.mandate.borrow_mut().note_written(
             &write,
             answer.as_ref().ok().copied(),
@@ -224,7 +224,7 @@
     /// What does the store hold, after a write that failed, or after it came back from a copy?
     async fn read_mandate_anew(&self) {
         let read = self.store.mandate().await;
-        self.health.note(&read);
+        self.health.record(&read);
         let Ok(read) = read else { return };
         let now = BootClock.now();
         let mut mandate = self.mandate.borrow_mut();
@@ -251,7 +251,7 @@
     /// mandate given back knows that no unanswered order is left, where it would else reckon with
     /// late ones for a quarter of a minute.
     pub(super) async fn wait_to_give_back(&self) {
-        while self.mandate.borrow().is_held() && self.health.is_lost() {
+        while self.mandate.borrow().is_held() && self.health.is_unavailable() {
             self.probe_store(PROBE_PERIOD + PROBE_TIME).await;
         }
     }
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -18,7 +18,7 @@
         let duty = Rc::clone(self);
         actix_rt::spawn(async move {
             let answer = duty.store.write_ranges(expected, &map).await;
-            duty.health.note(&answer);
+            duty.health.record(&answer);
             let writer = map.writer;
             match answer {
                 Ok(revision) => duty.note_map_written(revision, map, edit),
@@ -51,9 +51,9 @@
     ///
     /// A keeper that was made meanwhile has read the store itself and is left alone.
     async fn read_map_back(&self, writer: u64, error: &StoreError) {
-        self.health.pause().await;
+        self.health.backoff().await;
         let read = self.store.ranges().await;
-        self.health.note(&read);
+        self.health.record(&read);
         if self.keeper_writer() != Some(writer) {
             return;
         }
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -134,7 +134,7 @@
         let health = Rc::new(StoreHealth::new(parts.metrics.clone()));
         let book = Rc::new(BeliefBook::new(parts.incarnation, parts.beliefs));
         let address = parts.announced_address;
-        let mark = VmId::of(&parts.vm, &parts.zone);
+        let mark = VmId::new(&parts.vm, &parts.zone);
         let relay = NewsRelay::new(
             parts.zone,
             address,
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -61,7 +61,7 @@
             OrderKind::Grant(_) => GRANT_WAIT,
             OrderKind::Release => RELEASE_WAIT,
         };
-        let reply = self.orders.send(order, self.ownership.hold(), wait).await;
+        let reply = self.orders.send(order, self.ownership.lease(), wait).await;
         self.metrics.count_order(&order.kind, &reply.outcome);
         if !matches!(reply.outcome, OrderOutcome::Done(_)) {
             log_order_failure(order, &reply.outcome);
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -94,10 +94,10 @@
     fn note_era(&self, now: Timestamp) {
         let era = self.store.era();
         self.mandate.borrow_mut().note_era(era, now);
-        self.metrics.note_era(era, self.store.odd_eras());
+        self.metrics.set_era(era, self.store.invalid_eras());
         if era > self.era.replace(era) {
             // Watches of the era before hear nothing of this one.
-            self.health.back.notify_waiters();
+            self.health.recovered.notify_waiters();
         }
     }
 
@@ -121,9 +121,9 @@
     /// Reads the map and makes a keeper of it; tells whether that succeeded.
     async fn load_keeper(&self) -> bool {
         let read = self.store.ranges().await;
-        self.health.note(&read);
+        self.health.record(&read);
         let Ok(snapshot) = read else {
-            self.health.pause().await;
+            self.health.backoff().await;
             return false;
         };
         let now = BootClock.now();
@@ -145,8 +145,8 @@
 /// The keeper's times on the users' platform.
 pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> KeeperSettings {
     KeeperSettings {
-        hold: ownership.hold(),
-        renewal: ownership.renewal(),
+        hold: ownership.lease(),
+        renewal: ownership.renewal_interval(),
         retry: ORDER_RETRY,
         margin: HOLD_MARGIN,
         lateness: ORDER_LATENESS,
--- a/crates/nickellead_gateway/src/declared/mod.rs
+++ b/crates/nickellead_gateway/src/declared/mod.rs
@@ -36,7 +36,7 @@
     /// Connections that one of its targets takes from all VMs together.
     pub connections: u32,
     /// Whether each key is owned by one target.
-    pub divided: bool,
+    pub sharded: bool,
     /// What its targets bear after a start; `None` if that is not bounded.
     pub cold: Option<ColdRule>,
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct ColdRule {
     /// How long it is cold after a start.
-    pub length: Duration,
+    pub duration: Duration,
     /// Requests a second that it bears meanwhile.
     pub rate: f64,
 }
@@ -58,9 +58,9 @@
     /// Most bytes of a request's body.
     pub body_bytes: usize,
     /// Longest time for a request's head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -69,8 +69,8 @@
         Self {
             header_bytes: 16 * 1024,
             body_bytes: 64 * 1024 * 1024,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/nickellead_gateway/src/declared/route.rs
+++ b/crates/nickellead_gateway/src/declared/route.rs
@@ -40,7 +40,7 @@
     /// Most targets that one request may be sent to.
     pub attempts: u32,
     /// Services with their shares of the requests.
-    pub parts: Vec<WeightedService>,
+    pub split: Vec<WeightedService>,
 }
 
 /// One service's share of a route.
--- a/crates/nickellead_gateway/src/declared/updates.rs
+++ b/crates/nickellead_gateway/src/declared/updates.rs
@@ -14,7 +14,7 @@
     /// The changes since a content that the other VM knows, in order.
     Steps(Vec<Packed<DeclarationsChange>>),
     /// All declarations.
-    Whole(Packed<Declarations>),
+    Full(Packed<Declarations>),
 }
 
 /// Why news can't be applied; what was known stays in force.
@@ -22,7 +22,7 @@
 pub enum UpdateError {
     /// There are only changes, and nothing is known that they could change.
     #[error("changes of declarations, of which none are known")]
-    NothingKnown,
+    NoBase,
     /// A part of the news can't be read.
     #[error(transparent)]
     Packed(#[from] PackedError),
@@ -50,13 +50,13 @@
     /// [`UpdateError`] when any part can't be read or does not lead where it says.
     pub fn apply(&self, known: Option<&Declarations>) -> Result<AppliedUpdate, UpdateError> {
         match self {
-            Self::Whole(packed) => {
+            Self::Full(packed) => {
                 let declarations = packed.unpack()?;
                 let state = declarations.state();
                 Ok(AppliedUpdate { declarations, state, steps: Vec::new() })
             }
             Self::Steps(changes) => {
-                let known = known.ok_or(UpdateError::NothingKnown)?;
+                let known = known.ok_or(UpdateError::NoBase)?;
                 apply_steps(known, changes)
             }
         }
@@ -83,7 +83,7 @@
 
 impl DeclarationsHistory {
     /// Takes news that were applied, so that the same bytes can be told on.
-    pub fn follow(&mut self, applied: &AppliedUpdate) {
+    pub fn apply_update(&mut self, applied: &AppliedUpdate) {
         for step in &applied.steps {
             self.push(step.clone());
         }
--- a/crates/nickellead_gateway/src/drain.rs
+++ b/crates/nickellead_gateway/src/drain.rs
@@ -27,12 +27,12 @@
     }
 
     /// Whether a request that may take until `until` could be cut by the end.
-    pub(crate) fn would_cut(&self, until: Instant) -> bool {
+    pub(crate) fn ends_before(&self, until: Instant) -> bool {
         self.0.borrow().is_some_and(|end| until > end)
     }
 
     /// Returns when the last answers are to be made; never while the VM isn't stopping.
-    pub(crate) async fn last_moment(&self) {
+    pub(crate) async fn wait_for_deadline(&self) {
         let mut started = self.0.subscribe();
         // An error would mean that the state is gone, and this function borrows it.
         let end = started.wait_for(Option::is_some).await.ok().and_then(|end| *end);
--- a/crates/nickellead_gateway/src/evacuation.rs
+++ b/crates/nickellead_gateway/src/evacuation.rs
@@ -23,7 +23,7 @@
 
 impl ZoneStates {
     /// Takes over which zones are evacuated now.
-    pub(crate) fn take(&mut self, zones: &EvacuatedZones, now: Timestamp) {
+    pub(crate) fn update(&mut self, zones: &EvacuatedZones, now: Timestamp) {
         let ended = self.evacuated.extract_if(|zone, _| !zones.contains(zone));
         self.returned.extend(ended.map(|(zone, _)| (zone, now)));
         for zone in zones {
@@ -44,7 +44,7 @@
     }
 
     /// When a zone's targets began to take requests again; they may have turned cold shortly before.
-    pub(crate) fn returned(&self, zone: &str) -> Option<Timestamp> {
+    pub(crate) fn returned_at(&self, zone: &str) -> Option<Timestamp> {
         self.returned.get(zone).copied()
     }
 }
--- a/crates/nickellead_gateway/src/exchange.rs
+++ b/crates/nickellead_gateway/src/exchange.rs
@@ -29,12 +29,12 @@
 
 /// Where and until when a try is made.
 pub(crate) struct AttemptPlan<'a> {
-    pub(crate) member: &'a RegisteredTarget,
+    pub(crate) target: &'a RegisteredTarget,
     pub(crate) repeat: RepeatClass,
     /// For how long it is sent requests after it said that it leaves.
-    pub(crate) stay: Duration,
+    pub(crate) leaving_window: Duration,
     /// When the try is given up.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 /// A whole answer of a target.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
     /// A whole answer that belongs to the request.
-    Answered(TargetResponse),
+    Responded(TargetResponse),
     /// The target says it did not run the request.
     Shed,
     /// The target is another than the asked one, or does not own the key; it did not run it.
@@ -66,15 +66,15 @@
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
-    pub(crate) signs: ResponseSignals,
+    pub(crate) signals: ResponseSignals,
     /// When the request was sent last.
-    pub(crate) sent: Timestamp,
+    pub(crate) sent_at: Timestamp,
 }
 
 impl From<AttemptResult> for AttemptEnd {
     /// The end of a try in which the target told nothing of itself.
     fn from(result: AttemptResult) -> Self {
-        Self { result, signs: ResponseSignals::default(), sent: Timestamp::ZERO }
+        Self { result, signals: ResponseSignals::default(), sent_at: Timestamp::ZERO }
     }
 }
 
@@ -107,31 +107,31 @@
 ) -> AttemptEnd {
     let left = |until: Instant| until.saturating_duration_since(Instant::now());
     loop {
-        let taking = plan.member.pool.take(plan.member.address, left(plan.until), plan.repeat);
+        let taking = plan.target.pool.take(plan.target.address, left(plan.deadline), plan.repeat);
         let mut connection = match taking.await {
             Ok(connection) => connection,
             Err(failure) => return AttemptResult::NotSent(failure).into(),
         };
         let started = BootClock.now();
-        if !plan.member.take_turn(plan.stay, started) {
-            plan.member.pool.put(connection.sender, None);
+        if !plan.target.try_take_token(plan.leaving_window, started) {
+            plan.target.pool.put(connection.sender, None);
             return AttemptResult::Withheld.into();
         }
-        let request = build_request(names, outgoing, plan, left(plan.until));
+        let request = build_request(names, outgoing, plan, left(plan.deadline));
         let sending = connection.sender.try_send_request(request);
-        let sent = tokio::time::timeout(left(plan.until), sending).await;
+        let sent = tokio::time::timeout(left(plan.deadline), sending).await;
         match sent {
             Err(_) => return AttemptResult::Lost(LossReason::Late).into(),
             Ok(Ok(response)) => {
                 let (result, signs) =
                     read_answer(names, outgoing, plan, connection, response).await;
-                return AttemptEnd { result, signs, sent: started };
+                return AttemptEnd { result, signals: signs, sent_at: started };
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
                     return AttemptResult::Lost(LossReason::Broken).into();
                 }
-                plan.member.give_turn_back(BootClock.now());
+                plan.target.return_token(BootClock.now());
                 // The connection had ended before a byte left: take another.
                 if !connection.reused {
                     return AttemptResult::NotSent(ConnectFailure::Broken).into();
@@ -158,7 +158,7 @@
     *headers = outgoing.headers.clone();
     let deadline = HeaderValue::from(left.as_millis() as u64);
     headers.insert(HeaderName::from_static(names.deadline_ms), deadline);
-    if let Ok(id) = HeaderValue::from_str(&plan.member.id) {
+    if let Ok(id) = HeaderValue::from_str(&plan.target.id) {
         headers.insert(HeaderName::from_static(names.expected_target), id);
     }
     request
@@ -191,7 +191,7 @@
 ) -> bool {
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         let answering = head.headers.get(names.answering_target);
-        return answering.is_some_and(|id| id.as_bytes() == plan.member.id.as_bytes());
+        return answering.is_some_and(|id| id.as_bytes() == plan.target.id.as_bytes());
     }
     let owned = head.headers.get(names.request_id) == Some(&outgoing.request_id);
     owned || head.headers.contains_key(names.not_run)
@@ -211,14 +211,14 @@
     if !owned && !shed && !misdirected {
         return AttemptResult::Lost(LossReason::Foreign);
     }
-    let left = plan.until.saturating_duration_since(Instant::now());
+    let left = plan.deadline.saturating_duration_since(Instant::now());
     let collected = tokio::time::timeout(left, Limited::new(body, ANSWER_MAX).collect()).await;
     let body = match collected {
         Err(_) => return unless_refused(shed, misdirected, LossReason::Late),
         Ok(Err(_)) => return unless_refused(shed, misdirected, LossReason::Broken),
         Ok(Ok(body)) => body.to_bytes(),
     };
-    put_back(&plan.member.pool, connection, &head.headers);
+    put_back(&plan.target.pool, connection, &head.headers);
     if misdirected {
         return AttemptResult::Misdirected;
     }
@@ -228,7 +228,7 @@
     if head.status.is_success() && !head.headers.contains_key(names.target_proof) {
         return AttemptResult::Lost(LossReason::Foreign);
     }
-    AttemptResult::Answered(TargetResponse { status: head.status, headers: head.headers, body })
+    AttemptResult::Responded(TargetResponse { status: head.status, headers: head.headers, body })
 }
 
 /// A refusal stands even when its body is cut.
--- a/crates/nickellead_gateway/src/fleet.rs
+++ b/crates/nickellead_gateway/src/fleet.rs
@@ -14,7 +14,7 @@
 pub(crate) struct AnnouncementStamp {
     pub(crate) term: MandateTerm,
     /// Number of the holder's word.
-    pub(crate) word: u64,
+    pub(crate) sequence: u64,
 }
 
 /// One term of a mandate, as its holder's words go on in one era of the store.
@@ -42,7 +42,7 @@
 
 impl FleetTable {
     /// How many VMs there are, this one included; 0 while none are known.
-    pub(crate) fn sharers(&self, vm: VmId) -> usize {
+    pub(crate) fn count_including(&self, vm: VmId) -> usize {
         match self.vms.len() {
             0 => 0,
             known => known + usize::from(!self.vms.contains(&vm)),
@@ -51,13 +51,13 @@
 
     /// Place of a VM among those of its availability zone, and how many these are; `None` for a VM that
     /// the fleet does not name.
-    pub(crate) fn place_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
-        let near = self.vms.iter().filter(|one| one.is_beside(vm));
+    pub(crate) fn index_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
+        let near = self.vms.iter().filter(|one| one.shares_zone_with(vm));
         place_among(vm, near)
     }
 
     /// The same among all VMs.
-    pub(crate) fn place(&self, vm: VmId) -> Option<(usize, usize)> {
+    pub(crate) fn index(&self, vm: VmId) -> Option<(usize, usize)> {
         place_among(vm, self.vms.iter())
     }
 
@@ -66,15 +66,15 @@
     /// They are the VMs of the zone whose hashes with the target are highest, or of all zones if the zone
     /// has none: VMs that know the same fleet agree without asking each other, also while they are cut
     /// off, and a VM that comes or goes changes few of them.
-    pub(crate) fn is_sender(&self, vm: VmId, target: &str, zone: &str) -> bool {
+    pub(crate) fn sends_to_cold(&self, vm: VmId, target: &str, zone: &str) -> bool {
         if !self.vms.contains(&vm) {
             return false;
         }
-        let has_near = self.vms.iter().any(|one| one.is_of(zone));
-        if has_near && !vm.is_of(zone) {
+        let has_near = self.vms.iter().any(|one| one.is_in_zone(zone));
+        if has_near && !vm.is_in_zone(zone) {
             return false;
         }
-        let rivals = self.vms.iter().filter(|one| !has_near || one.is_of(zone));
+        let rivals = self.vms.iter().filter(|one| !has_near || one.is_in_zone(zone));
         is_cold_sender(vm.rank(target), rivals.map(|one| one.rank(target)))
     }
 }
--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -20,27 +20,27 @@
     pub(crate) outgoing: OutgoingRequest,
     /// The caller's key, if it names one.
     pub(crate) key: Option<u16>,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// How long the caller has been trying before, as far as its deadline shows.
-    pub(crate) age: Duration,
+    pub(crate) caller_age: Duration,
     /// When the caller, or the route, stops waiting.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl IncomingRequest {
     /// The service that figures count it under: the first one where the route is split.
     pub(crate) fn main_service(&self) -> &str {
-        self.route.rule.parts.first().map_or("-", |part| &part.service)
+        self.route.rule.split.first().map_or("-", |part| &part.service)
     }
 
     /// Until when an answer is in time, counted from the caller's first try.
-    pub(crate) fn in_time_until(&self) -> Instant {
-        self.arrived + self.route.rule.latency_target.saturating_sub(self.age)
+    pub(crate) fn latency_deadline(&self) -> Instant {
+        self.arrived_at + self.route.rule.latency_target.saturating_sub(self.caller_age)
     }
 
     /// Time until nobody waits any more.
-    pub(crate) fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
@@ -59,7 +59,7 @@
     let id = HeaderName::from_static(names.request_id);
     let request_id = headers.get(&id).cloned().ok_or(ErrorKind::RequestMalformed)?;
     let deadline = number(&headers, names.deadline_ms)?.map(Duration::from_millis);
-    let age = deadline.map_or(Duration::ZERO, |left| route.patience.note(left));
+    let age = deadline.map_or(Duration::ZERO, |left| route.wait_tolerance.note(left));
     let until = arrived + deadline.unwrap_or(route.rule.timeout).min(route.rule.timeout);
     let key = number(&headers, names.shard_key)?.map(u16::try_from).transpose();
     let key = key.map_err(|_| ErrorKind::RequestMalformed)?;
@@ -69,7 +69,14 @@
         request.uri().path_and_query().map_or("/", |whole| whole.as_str()).to_owned();
     let body = read_body_until(request.take_payload(), limits.body_bytes, until).await?;
     let outgoing = OutgoingRequest { method, path_and_query, headers, body, request_id };
-    Ok(IncomingRequest { route, outgoing, key, arrived, age, until })
+    Ok(IncomingRequest {
+        route,
+        outgoing,
+        key,
+        arrived_at: arrived,
+        caller_age: age,
+        deadline: until,
+    })
 }
 
 fn check_head(request: &Request, limits: CallerLimits) -> Result<(), ErrorKind> {
--- a/crates/nickellead_gateway/src/load_counter.rs
+++ b/crates/nickellead_gateway/src/load_counter.rs
@@ -19,7 +19,7 @@
     /// Requests by service and key.
     pub(crate) keys: KeyCounts,
     /// What became of requests, by target.
-    pub(crate) answers: HashMap<String, ResponseCounts>,
+    pub(crate) responses: HashMap<String, ResponseCounts>,
     /// Targets that said that they leave.
     pub(crate) leaving: BTreeSet<HolderRecord>,
     /// What targets said of limits.
@@ -37,17 +37,17 @@
 
 impl VmId {
     /// The mark of the VM of this name and availability zone.
-    pub(crate) fn of(vm: &str, zone: &str) -> Self {
+    pub(crate) fn new(vm: &str, zone: &str) -> Self {
         Self { vm: short_hash(vm), zone: short_hash(zone) }
     }
 
     /// Whether the VM is in this availability zone.
-    pub(crate) fn is_of(self, zone: &str) -> bool {
+    pub(crate) fn is_in_zone(self, zone: &str) -> bool {
         self.zone == short_hash(zone)
     }
 
     /// Whether both VMs are in one availability zone.
-    pub(crate) fn is_beside(self, other: Self) -> bool {
+    pub(crate) fn shares_zone_with(self, other: Self) -> bool {
         self.zone == other.zone
     }
 
@@ -65,29 +65,29 @@
 #[derive(Clone, Copy, Debug, Default, Encode, Decode)]
 pub(crate) struct ResponseCounts {
     /// Whole answers.
-    pub(crate) answered: u32,
+    pub(crate) responses: u32,
     /// Their time together, in milliseconds.
     pub(crate) total_ms: f64,
     /// The same, each as a part of its request's latency target.
-    pub(crate) goal_parts: f64,
+    pub(crate) latency_target_ratios: f64,
     /// Tries that were sent and met a refusal, a broken connection or no answer in time.
     pub(crate) lost: u32,
     /// Longest pause that it asked for, in milliseconds; 0 for none.
-    pub(crate) pause_ms: u32,
+    pub(crate) max_pause_ms: u32,
 }
 
 /// What one life of a target said of its limit since the last look.
 #[derive(Clone, Copy, Debug, Default, Encode, Decode)]
 pub(crate) struct LimitCounts {
     /// Least limit that it named, in requests a second from all VMs together.
-    pub(crate) least: Option<f64>,
+    pub(crate) min_limit: Option<f64>,
     /// Answers that named none, counted by VMs that know of one.
     pub(crate) unlimited: u32,
 }
 
 impl LimitCounts {
     fn add(&mut self, other: Self) {
-        self.least = match (self.least, other.least) {
+        self.min_limit = match (self.min_limit, other.min_limit) {
             (Some(one), Some(other)) => Some(one.min(other)),
             (one, other) => one.or(other),
         };
@@ -97,11 +97,11 @@
 
 impl ResponseCounts {
     fn add(&mut self, other: Self) {
-        self.answered = self.answered.saturating_add(other.answered);
+        self.responses = self.responses.saturating_add(other.responses);
         self.total_ms += other.total_ms;
-        self.goal_parts += other.goal_parts;
+        self.latency_target_ratios += other.latency_target_ratios;
         self.lost = self.lost.saturating_add(other.lost);
-        self.pause_ms = self.pause_ms.max(other.pause_ms);
+        self.max_pause_ms = self.max_pause_ms.max(other.max_pause_ms);
     }
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// Counts one request.
-    pub(crate) fn note(&self, service: &str, key: u16) {
+    pub(crate) fn record_request(&self, service: &str, key: u16) {
         let mut counts = self.lock();
         let counts = &mut counts.keys;
         if !counts.contains_key(service) {
@@ -130,44 +130,52 @@
     }
 
     /// Counts a whole answer of a target to a request with this latency target.
-    pub(crate) fn note_answer(&self, target: &str, length: Duration, goal: Duration) {
+    pub(crate) fn record_response(&self, target: &str, length: Duration, goal: Duration) {
         let goal_parts = length.as_secs_f64() / goal.as_secs_f64().max(f64::EPSILON);
         let total_ms = length.as_secs_f64() * 1_000.0;
-        self.add_answers(
+        self.add_responses(
             target,
-            ResponseCounts { answered: 1, total_ms, goal_parts, ..ResponseCounts::default() },
+            ResponseCounts {
+                responses: 1,
+                total_ms,
+                latency_target_ratios: goal_parts,
+                ..ResponseCounts::default()
+            },
         );
     }
 
     /// Counts a request that a target left without a usable answer.
-    pub(crate) fn note_lost(&self, target: &str) {
-        self.add_answers(target, ResponseCounts { lost: 1, ..ResponseCounts::default() });
+    pub(crate) fn record_lost(&self, target: &str) {
+        self.add_responses(target, ResponseCounts { lost: 1, ..ResponseCounts::default() });
     }
 
     /// Counts a pause that a target asked for.
-    pub(crate) fn note_pause(&self, target: &str, pause: Duration) {
+    pub(crate) fn record_pause(&self, target: &str, pause: Duration) {
         let pause_ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
-        self.add_answers(target, ResponseCounts { pause_ms, ..ResponseCounts::default() });
+        self.add_responses(
+            target,
+            ResponseCounts { max_pause_ms: pause_ms, ..ResponseCounts::default() },
+        );
     }
 
     /// Counts an answer that names a limit, or that names none any more.
-    pub(crate) fn note_limit(&self, target: HolderRecord, limit: Option<f64>) {
-        let counts = LimitCounts { least: limit, unlimited: u32::from(limit.is_none()) };
+    pub(crate) fn record_limit(&self, target: HolderRecord, limit: Option<f64>) {
+        let counts = LimitCounts { min_limit: limit, unlimited: u32::from(limit.is_none()) };
         self.lock().limits.entry(target).or_default().add(counts);
     }
 
-    fn add_answers(&self, target: &str, new: ResponseCounts) {
+    fn add_responses(&self, target: &str, new: ResponseCounts) {
         let mut counts = self.lock();
-        match counts.answers.get_mut(target) {
+        match counts.responses.get_mut(target) {
             Some(known) => known.add(new),
             None => {
-                counts.answers.insert(target.to_owned(), new);
+                counts.responses.insert(target.to_owned(), new);
             }
         }
     }
 
     /// Notes a target that said that it leaves.
-    pub(crate) fn note_leaving(&self, target: HolderRecord) {
+    pub(crate) fn record_leaving(&self, target: HolderRecord) {
         self.lock().leaving.insert(target);
     }
 
@@ -177,7 +185,7 @@
     }
 
     /// Adds what another VM has seen.
-    pub(crate) fn add(&self, other: LoadCounts) {
+    pub(crate) fn merge(&self, other: LoadCounts) {
         let mut counts = self.lock();
         for (service, keys) in other.keys {
             let known = counts.keys.entry(service).or_default();
@@ -188,8 +196,8 @@
         for (target, new) in other.limits {
             counts.limits.entry(target).or_default().add(new);
         }
-        for (target, new) in other.answers {
-            counts.answers.entry(target).or_default().add(new);
+        for (target, new) in other.responses {
+            counts.responses.entry(target).or_default().add(new);
         }
     }
 
--- a/crates/nickellead_gateway/src/metrics/control.rs
+++ b/crates/nickellead_gateway/src/metrics/control.rs
@@ -46,7 +46,7 @@
     }
 
     /// Notes the store's era, and how many answers told it oddly.
-    pub(crate) fn note_era(&self, era: StoreEra, odd: u64) {
+    pub(crate) fn set_era(&self, era: StoreEra, odd: u64) {
         self.store_era.set(era.0 as i64);
         self.store_eras_odd.set(odd as i64);
     }
@@ -56,9 +56,9 @@
         let answer = match result {
             Ok(_) => "done",
             Err(StoreError::Conflict) => "conflict",
-            Err(StoreError::Forgotten) => "forgotten",
+            Err(StoreError::Compacted) => "forgotten",
             Err(StoreError::Refused(_)) => "refused",
-            Err(StoreError::Silent(_)) => "silent",
+            Err(StoreError::NoResponse(_)) => "silent",
             Err(StoreError::Malformed(_)) => "malformed",
         };
         self.store_calls.get_or_create(&AnswerLabel { answer }).inc();
--- a/crates/nickellead_gateway/src/metrics/requests.rs
+++ b/crates/nickellead_gateway/src/metrics/requests.rs
@@ -94,7 +94,7 @@
     }
 
     /// Counts an answer of a target that was passed on.
-    pub(crate) fn note_answer(&self, service: &str, length: Duration) {
+    pub(crate) fn record_response(&self, service: &str, length: Duration) {
         self.answers.observe(length.as_secs_f64());
         self.count_outcome(service, "answered");
     }
@@ -107,11 +107,11 @@
     }
 
     /// Counts an answer that tells something of its target.
-    pub(crate) fn count_signs(&self, signs: ResponseSignals) {
+    pub(crate) fn count_signals(&self, signs: ResponseSignals) {
         let told = [
             ("leaving", signs.leaving),
             ("pause", signs.pause.is_some()),
-            ("unreadable-pause", signs.unreadable),
+            ("unreadable-pause", signs.unreadable_pause),
             ("limit", matches!(signs.limit, LimitSignal::Limited(_))),
             ("unreadable-limit", signs.limit == LimitSignal::Unreadable),
         ];
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -102,13 +102,13 @@
         readiness: sockets.readiness,
         metrics: sockets.metrics,
         control_metrics: metrics.clone(),
-        beliefs: receivers,
+        receivers: receivers,
         keys: keys.clone(),
-        state: Arc::clone(&state),
+        serve_state: Arc::clone(&state),
         drain: Arc::clone(&drain),
         policy: settings.policy,
         cold: settings.cold,
-        leaving_stay: Duration::from_secs_f64(settings.drain_s * LEAVING_STAY_PART),
+        leaving_window: Duration::from_secs_f64(settings.drain_s * LEAVING_STAY_PART),
     })?;
     let parts = ControlParts {
         vm: settings.vm.clone(),
--- a/crates/nickellead_gateway/src/port.rs
+++ b/crates/nickellead_gateway/src/port.rs
@@ -17,7 +17,7 @@
 pub enum StoreError {
     /// No answer in time: a write may have taken effect, or may yet.
     #[error("the store did not answer: {0}")]
-    Silent(String),
+    NoResponse(String),
     /// The store refused the call; nothing was done.
     #[error("the store refused the call with status {0}")]
     Refused(u16),
@@ -26,7 +26,7 @@
     Conflict,
     /// The changes since the asked revision are not kept any more.
     #[error("the changes since then are forgotten: list anew")]
-    Forgotten,
+    Compacted,
     /// The answer can't be read.
     #[error("the store's answer can't be read: {0}")]
     Malformed(String),
@@ -50,7 +50,7 @@
     /// [`StoreError::Conflict`] if it writes, though the write may have been done by chance.
     fn era(&self) -> StoreEra;
     /// Answers whose word of the era was odd.
-    fn odd_eras(&self) -> u64;
+    fn invalid_eras(&self) -> u64;
     /// Reads the declarations; `None` while there are none.
     async fn declarations(&self) -> Result<Snapshot<Option<Declarations>>, StoreError>;
     /// Waits for newer declarations.
@@ -90,7 +90,7 @@
         map: &RangeMap,
     ) -> Result<Revision, StoreError>;
     /// Reads the mandate from a copy that may be seconds old.
-    async fn mandate_maybe_old(&self) -> Result<Option<Stored<MandateRecord>>, StoreError>;
+    async fn mandate_cached(&self) -> Result<Option<Stored<MandateRecord>>, StoreError>;
     /// Reads the mandate as it is.
     async fn mandate(&self) -> Result<Option<Stored<MandateRecord>>, StoreError>;
     /// Writes the mandate if it has the expected revision; `None` means that it must not exist.
--- a/crates/nickellead_gateway/src/relay/mod.rs
+++ b/crates/nickellead_gateway/src/relay/mod.rs
@@ -150,8 +150,8 @@
     /// follow each other in a circle notice it.
     fn news_age(&self) -> Option<Duration> {
         let heard = match self.source.get() {
-            NewsSource::Store if self.health.is_lost() => None,
-            NewsSource::Store => self.health.heard(),
+            NewsSource::Store if self.health.is_unavailable() => None,
+            NewsSource::Store => self.health.last_response(),
             NewsSource::Vm(_) => self.root_heard.get(),
             NewsSource::Seeking => None,
         };
--- a/crates/nickellead_gateway/src/relay/telling.rs
+++ b/crates/nickellead_gateway/src/relay/telling.rs
@@ -79,7 +79,7 @@
     /// Whether this VM has no news because the store answers neither it nor its source.
     fn store_is_away(&self) -> bool {
         match self.source.get() {
-            NewsSource::Store => self.health.is_lost(),
+            NewsSource::Store => self.health.is_unavailable(),
             NewsSource::Vm(_) => self.root_away.get(),
             NewsSource::Seeking => false,
         }
@@ -103,7 +103,7 @@
 
     /// Answers a question for news, at once when there are any and else after a while.
     async fn tell_news(&self, mut ask: NewsAsk) -> RelayTell {
-        self.loads.add(std::mem::take(&mut ask.load));
+        self.loads.merge(std::mem::take(&mut ask.load));
         self.asked.set(Some(Instant::now()));
         if let Some(other) = self.better_source(&ask) {
             return RelayTell::AskOther(other);
--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -36,13 +36,13 @@
     pub(crate) readiness: TcpListener,
     pub(crate) metrics: Option<TcpListener>,
     pub(crate) control_metrics: ControlMetrics,
-    pub(crate) beliefs: StateReceivers,
+    pub(crate) receivers: StateReceivers,
     pub(crate) keys: LoadCounter,
-    pub(crate) state: Arc<ServeState>,
+    pub(crate) serve_state: Arc<ServeState>,
     pub(crate) drain: Arc<DrainState>,
     pub(crate) policy: PolicySettings,
     pub(crate) cold: Option<ColdSettings>,
-    pub(crate) leaving_stay: Duration,
+    pub(crate) leaving_window: Duration,
 }
 
 /// Starts the thread.
@@ -72,13 +72,13 @@
         metrics,
         policy: parts.policy,
         cold: parts.cold,
-        leaving_stay: parts.leaving_stay,
+        leaving_stay: parts.leaving_window,
     });
-    follow_beliefs(&worker, &parts.beliefs);
+    follow_beliefs(&worker, &parts.receivers);
     for listener in std::iter::once(parts.readiness).chain(parts.metrics) {
-        serve_readiness(listener, &worker, &registry, parts.beliefs.clone(), &parts.drain);
+        serve_readiness(listener, &worker, &registry, parts.receivers.clone(), &parts.drain);
     }
-    let state = Arc::clone(&parts.state);
+    let state = Arc::clone(&parts.serve_state);
     let handler = move |request| {
         let worker = Rc::clone(&worker);
         let stopping = state.is_stopping();
@@ -89,11 +89,11 @@
             }
         }
     };
-    serve_http(parts.callers, parts.connections, Arc::clone(&parts.state), handler).await;
-    wait_for_answers(&parts.state).await;
+    serve_http(parts.callers, parts.connections, Arc::clone(&parts.serve_state), handler).await;
+    wait_for_answers(&parts.serve_state).await;
     tokio::time::sleep(FLUSH_TIME).await;
     // Requests that came meanwhile were refused; their refusals may wait for room as well.
-    wait_for_answers(&parts.state).await;
+    wait_for_answers(&parts.serve_state).await;
 }
 
 /// Waits until every request has its answer, and all bytes of answers are the system's.
--- a/crates/nickellead_gateway/src/response_signals.rs
+++ b/crates/nickellead_gateway/src/response_signals.rs
@@ -20,7 +20,7 @@
     /// For how long it wants nothing from this VM.
     pub(crate) pause: Option<Duration>,
     /// Whether it named a time that can't be read.
-    pub(crate) unreadable: bool,
+    pub(crate) unreadable_pause: bool,
     /// What it says of the requests that it takes.
     pub(crate) limit: LimitSignal,
 }
@@ -30,7 +30,7 @@
 pub(crate) enum LimitSignal {
     /// Nothing that counts: no answer of the target came.
     #[default]
-    Unheard,
+    Absent,
     /// There is no limit.
     Unlimited,
     /// So many.
@@ -46,15 +46,20 @@
         let pause = told.and_then(|value| parse_seconds(value.to_str().ok()?));
         let unreadable = told.is_some() && pause.is_none();
         let limit = LimitSignal::read(names, headers);
-        Self { leaving: signals_leaving(names, headers), pause, unreadable, limit }
+        Self {
+            leaving: signals_leaving(names, headers),
+            pause,
+            unreadable_pause: unreadable,
+            limit,
+        }
     }
 }
 
 impl LimitSignal {
     /// The limit that it names, or that there is none; nothing if it says nothing.
-    pub(crate) fn told(self) -> Option<Option<f64>> {
+    pub(crate) fn reported(self) -> Option<Option<f64>> {
         match self {
-            Self::Unheard | Self::Unreadable => None,
+            Self::Absent | Self::Unreadable => None,
             Self::Unlimited => Some(None),
             Self::Limited(rate) => Some(Some(rate)),
         }
--- a/crates/nickellead_gateway/src/retry_budget.rs
+++ b/crates/nickellead_gateway/src/retry_budget.rs
@@ -10,19 +10,19 @@
 /// Tokens by service: requests earn them, retries spend them.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    most: f64,
+    max_tokens: f64,
     tokens: HashMap<String, f64>,
 }
 
 impl RetryBudget {
     /// Every service starts with `most` tokens and never has more.
     pub(crate) fn new(most: f64) -> Self {
-        Self { most, tokens: HashMap::new() }
+        Self { max_tokens: most, tokens: HashMap::new() }
     }
 
     /// Notes the first try of a request.
-    pub(crate) fn note_request(&mut self, service: &str) {
-        let most = self.most;
+    pub(crate) fn record_request(&mut self, service: &str) {
+        let most = self.max_tokens;
         match self.tokens.get_mut(service) {
             Some(tokens) => *tokens = (*tokens + EARNED).min(most),
             None => {
@@ -32,7 +32,7 @@
     }
 
     /// Takes a token for one retry, if there is one.
-    pub(crate) fn take(&mut self, service: &str) -> bool {
+    pub(crate) fn try_take(&mut self, service: &str) -> bool {
         match self.tokens.get_mut(service) {
             Some(tokens) if *tokens >= 1.0 => {
                 *tokens -= 1.0;
--- a/crates/nickellead_gateway/src/route_table.rs
+++ b/crates/nickellead_gateway/src/route_table.rs
@@ -15,30 +15,30 @@
     /// Credit of each part: the part with the most credit is next.
     credits: Vec<Cell<f64>>,
     /// How long its callers wait.
-    pub(crate) patience: CallerPatience,
+    pub(crate) wait_tolerance: CallerPatience,
 }
 
 impl RouteEntry {
     fn new(rule: SharedRoute) -> Self {
-        let credits = rule.parts.iter().map(|_| Cell::new(0.0)).collect();
-        Self { rule, credits, patience: CallerPatience::default() }
+        let credits = rule.split.iter().map(|_| Cell::new(0.0)).collect();
+        Self { rule, credits, wait_tolerance: CallerPatience::default() }
     }
 
     /// The part that the next request goes to: shares are kept to within one request.
-    pub(crate) fn next_part(&self) -> Option<&WeightedService> {
-        let total: f64 = self.rule.parts.iter().map(|part| part.weight).sum();
+    pub(crate) fn next_service(&self) -> Option<&WeightedService> {
+        let total: f64 = self.rule.split.iter().map(|part| part.weight).sum();
         if total <= 0.0 {
-            return self.rule.parts.first();
+            return self.rule.split.first();
         }
         let mut best = None;
-        for (part, credit) in self.rule.parts.iter().zip(&self.credits) {
+        for (part, credit) in self.rule.split.iter().zip(&self.credits) {
             credit.set(credit.get() + part.weight / total);
             if best.is_none_or(|(_, most)| credit.get() > most) {
                 best = Some((part, credit.get()));
             }
         }
         let (part, _) = best?;
-        let place = self.rule.parts.iter().position(|other| std::ptr::eq(other, part))?;
+        let place = self.rule.split.iter().position(|other| std::ptr::eq(other, part))?;
         self.credits[place].set(self.credits[place].get() - 1.0);
         Some(part)
     }
--- a/crates/nickellead_gateway/src/settings.rs
+++ b/crates/nickellead_gateway/src/settings.rs
@@ -133,13 +133,13 @@
 impl OwnershipSettings {
     /// How long a target holds a range.
     #[must_use]
-    pub fn hold(&self) -> Duration {
+    pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.hold_s)
     }
 
     /// Between two renewals.
     #[must_use]
-    pub fn renewal(&self) -> Duration {
+    pub fn renewal_interval(&self) -> Duration {
         Duration::from_secs_f64(self.renewal_s)
     }
 }
--- a/crates/nickellead_gateway/src/store_era.rs
+++ b/crates/nickellead_gateway/src/store_era.rs
@@ -20,7 +20,7 @@
     /// It is no whole number.
     Unreadable,
     /// It is lower than one that was known before the call was made.
-    Fallen,
+    Decreased,
     /// It rose by more than one.
     Jumped,
 }
@@ -30,7 +30,7 @@
         match self {
             Self::Missing => "missing",
             Self::Unreadable => "unreadable",
-            Self::Fallen => "fallen",
+            Self::Decreased => "fallen",
             Self::Jumped => "jumped",
         }
     }
@@ -41,10 +41,10 @@
 pub struct EraMonitor {
     era: Cell<StoreEra>,
     /// When the era last rose; `None` before a second one was told.
-    risen: Cell<Option<Instant>>,
+    increased_at: Cell<Option<Instant>>,
     /// Whether any answer told an era.
-    is_told: Cell<bool>,
-    odd: Cell<u64>,
+    is_known: Cell<bool>,
+    invalid_count: Cell<u64>,
 }
 
 impl EraMonitor {
@@ -56,21 +56,21 @@
 
     /// Answers whose word of the era was odd.
     #[must_use]
-    pub fn odd(&self) -> u64 {
-        self.odd.get()
+    pub fn invalid_count(&self) -> u64 {
+        self.invalid_count.get()
     }
 
     /// Whether the era rose less than this time ago.
     #[must_use]
-    pub fn rose_within(&self, time: Duration) -> bool {
-        self.risen.get().is_some_and(|risen| risen.elapsed() < time)
+    pub fn increased_within(&self, time: Duration) -> bool {
+        self.increased_at.get().is_some_and(|risen| risen.elapsed() < time)
     }
 
     /// Takes in the word of an answer to a call that was made in the era `sent_in`, as far as was known
     /// then; gives the era of what the answer says.
-    pub fn note(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
+    pub fn observe(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
         let Some(word) = word else {
-            if self.is_told.get() {
+            if self.is_known.get() {
                 self.count(InvalidEra::Missing, sent_in);
             }
             return sent_in;
@@ -81,27 +81,27 @@
         };
         let known = self.era.get();
         if told < sent_in {
-            self.count(InvalidEra::Fallen, told);
+            self.count(InvalidEra::Decreased, told);
             return sent_in;
         }
         if told <= known {
             return told;
         }
-        if self.is_told.replace(true) {
+        if self.is_known.replace(true) {
             if told.0 - known.0 > 1 {
                 self.count(InvalidEra::Jumped, told);
             }
             if told.0 - known.0 > RISE_MOST {
                 return sent_in;
             }
-            self.risen.set(Some(Instant::now()));
+            self.increased_at.set(Some(Instant::now()));
         }
         self.era.set(told);
         told
     }
 
     fn count(&self, odd: InvalidEra, told: StoreEra) {
-        self.odd.set(self.odd.get() + 1);
+        self.invalid_count.set(self.invalid_count.get() + 1);
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
             [("reason", &odd.as_str()), ("told", &told), ("known", &self.era.get())];
         log_event(EventName::EraOdd, &pairs);
--- a/crates/nickellead_gateway/src/store_health.rs
+++ b/crates/nickellead_gateway/src/store_health.rs
@@ -24,11 +24,11 @@
     /// Calls in a row that failed.
     failures: Cell<u32>,
     /// When the store last answered again after a failure.
-    regained: Cell<Option<Instant>>,
+    recovered_at: Cell<Option<Instant>>,
     /// When the store last answered.
-    heard: Cell<Option<Instant>>,
+    last_response: Cell<Option<Instant>>,
     /// Woken when the store answers again: watches that hang are started anew.
-    pub(crate) back: Notify,
+    pub(crate) recovered: Notify,
     metrics: ControlMetrics,
 }
 
@@ -39,20 +39,20 @@
     }
 
     /// Notes the outcome of a call.
-    pub(crate) fn note<T>(&self, result: &Result<T, StoreError>) {
+    pub(crate) fn record<T>(&self, result: &Result<T, StoreError>) {
         self.metrics.count_store_call(result);
         match result {
-            Err(error @ (StoreError::Silent(_) | StoreError::Refused(_))) => {
+            Err(error @ (StoreError::NoResponse(_) | StoreError::Refused(_))) => {
                 if self.failures.get() == 0 {
                     log_event(EventName::StoreLost, &[("reason", error)]);
                 }
                 self.failures.set(self.failures.get().saturating_add(1));
             }
             _ => {
-                self.heard.set(Some(Instant::now()));
+                self.last_response.set(Some(Instant::now()));
                 if self.failures.replace(0) > 0 {
-                    self.regained.set(Some(Instant::now()));
-                    self.back.notify_waiters();
+                    self.recovered_at.set(Some(Instant::now()));
+                    self.recovered.notify_waiters();
                     log_event(EventName::StoreRegained, &[]);
                 }
             }
@@ -60,22 +60,22 @@
     }
 
     /// Whether the last call failed.
-    pub(crate) fn is_lost(&self) -> bool {
+    pub(crate) fn is_unavailable(&self) -> bool {
         self.failures.get() > 0
     }
 
     /// When the store last answered.
-    pub(crate) fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    pub(crate) fn last_response(&self) -> Option<Instant> {
+        self.last_response.get()
     }
 
     /// When the store last answered again after a failure.
-    pub(crate) fn regained(&self) -> Option<Instant> {
-        self.regained.get()
+    pub(crate) fn recovered_at(&self) -> Option<Instant> {
+        self.recovered_at.get()
     }
 
     /// Waits before the next call, longer after each failure, spread at random.
-    pub(crate) async fn pause(&self) {
+    pub(crate) async fn backoff(&self) {
         let doubled = PAUSE_FIRST * (1 << self.failures.get().min(PAUSE_DOUBLINGS));
         let most = doubled.min(PAUSE_MOST);
         tokio::time::sleep(most.mul_f64(PAUSE_LEAST + fastrand::f64() * (1.0 - PAUSE_LEAST))).await;
--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -125,7 +125,7 @@
             let stepped = tokio::select! {
                 stepped = step(anew) => stepped,
                 () = self.relay.leaves_store() => continue,
-                () = self.health.back.notified() => continue,
+                () = self.health.recovered.notified() => continue,
                 () = self.relay.starts_to_lead() => continue,
             };
             anew = false;
@@ -133,7 +133,7 @@
                 Ok(WatchStep::Continue) => {}
                 Ok(WatchStep::After(pause)) => tokio::time::sleep(pause).await,
                 Ok(WatchStep::ReadAnew) => anew = true,
-                Err(StoreError::Forgotten) => {
+                Err(StoreError::Compacted) => {
                     anew = true;
                     let last = forgotten.replace(Instant::now());
                     if last.is_some_and(|last| last.elapsed() < FORGOTTEN_PAUSE * 2) {
@@ -148,12 +148,12 @@
     /// Waits until the store answers the mandate's cheap looks again: to ask for each part meanwhile, with
     /// a call of ten times their price, tells nothing more.
     async fn wait_for_store(&self) {
-        if !self.health.is_lost() {
-            return self.health.pause().await;
+        if !self.health.is_unavailable() {
+            return self.health.backoff().await;
         }
-        while self.health.is_lost() {
+        while self.health.is_unavailable() {
             // A notice may come between the look and the wait.
-            let _ = tokio::time::timeout(OUTAGE_PAUSE, self.health.back.notified()).await;
+            let _ = tokio::time::timeout(OUTAGE_PAUSE, self.health.recovered.notified()).await;
         }
         tokio::time::sleep(RETURN_SPREAD.mul_f64(fastrand::f64())).await;
     }
@@ -167,7 +167,7 @@
                 None => return Ok(WatchStep::Continue),
             },
         };
-        self.health.note(&result);
+        self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
         self.book.note_declarations(snapshot.as_of, snapshot.value);
@@ -195,7 +195,7 @@
                 watched = &mut watching => return watched.map(Some),
                 read = checking => read,
             };
-            self.health.note(&read);
+            self.health.record(&read);
             if let Ok(read) = read {
                 self.book.note_declarations(read.as_of, read.value);
             }
@@ -214,7 +214,7 @@
                 continue;
             }
             let read = self.store.declarations().await;
-            self.health.note(&read);
+            self.health.record(&read);
             match read {
                 Ok(read) => self.book.note_declarations(read.as_of, read.value),
                 Err(_) => self.wait_for_store().await,
@@ -228,9 +228,9 @@
         match self.book.known().targets.filter(|_| !anew) {
             None => {
                 let result = self.store.targets().await;
-                self.health.note(&result);
+                self.health.record(&result);
                 let list = result?;
-                self.book.note_all_targets(list.as_of, list.value, self.lapse_end());
+                self.book.note_all_targets(list.as_of, list.value, self.expiry_end());
                 Ok(WatchStep::After(self.target_pause()))
             }
             Some(from) => self.watch_targets(from).await,
@@ -243,14 +243,14 @@
             Ok(result) => result,
             Err(_) => return Ok(WatchStep::ReadAnew),
         };
-        self.health.note(&result);
+        self.health.record(&result);
         let changes = result?;
         if self.book.known().targets.is_some_and(|known| known != from) {
             // Another source was faster: these changes may stand behind what is known.
             return Ok(WatchStep::ReadAnew);
         }
         let changed = !changes.value.is_empty();
-        self.book.note_target_changes(changes.as_of, changes.value, self.lapse_end());
+        self.book.note_target_changes(changes.as_of, changes.value, self.expiry_end());
         Ok(if changed { WatchStep::After(self.target_pause()) } else { WatchStep::Continue })
     }
 
@@ -272,7 +272,7 @@
                 }
             }
         };
-        self.health.note(&result);
+        self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
         self.book.note_ranges(snapshot.as_of, snapshot.value);
@@ -286,14 +286,14 @@
             let watching = self.store.watch_evacuations(from, WATCH_WAIT);
             let check = self.check_time(EVACUATIONS_CHECK);
             if let Ok(watched) = tokio::time::timeout(check, watching).await {
-                self.health.note(&watched);
+                self.health.record(&watched);
                 if !watched?.value {
                     return Ok(WatchStep::Continue);
                 }
             }
         }
         let result = self.store.evacuations().await;
-        self.health.note(&result);
+        self.health.record(&result);
         let Snapshot { as_of, value } = result?;
         self.book.note_evacuations(Stored { revision: as_of, value });
         Ok(WatchStep::Continue)
@@ -314,11 +314,11 @@
     }
 
     /// Until when a missing entry may only have lapsed; `None` when the store was not away.
-    fn lapse_end(&self) -> Option<Instant> {
-        if self.health.is_lost() {
+    fn expiry_end(&self) -> Option<Instant> {
+        if self.health.is_unavailable() {
             return Some(Instant::now() + LAPSE_TIME);
         }
-        let until = self.health.regained()? + LAPSE_TIME;
+        let until = self.health.recovered_at()? + LAPSE_TIME;
         (until > Instant::now()).then_some(until)
     }
 }
--- a/crates/nickellead_gateway/src/target_registry.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -66,26 +66,26 @@
     pub(crate) slots: u32,
     pub(crate) state: Cell<TargetState>,
     /// What its entry last said of how much longer it is cold.
-    told_cold: Cell<Duration>,
+    listed_cold: Cell<Duration>,
     /// What its targets bear while they are cold.
     cold_rule: Cell<Option<ColdRule>>,
-    pub(crate) cold: ColdGate,
+    pub(crate) cold_limiter: ColdGate,
     /// Whether it owns keys.
-    divided: Cell<bool>,
+    sharded: Cell<bool>,
     /// Until when it is left out because it refused a connection.
     down_until: Cell<Timestamp>,
     /// What it told this VM of itself.
-    pub(crate) signs: SharedSignals,
+    pub(crate) signals: SharedSignals,
     /// What the mandate's holder told of its limit.
-    told_limit: Cell<ToldLimit>,
+    reported_limit: Cell<ToldLimit>,
     /// This VM's part of its limit.
-    rate: RateGate,
+    rate_limiter: RateGate,
     /// VMs that share its limit, this one included; 0 while they are not known.
-    sharers: Cell<usize>,
+    sharing_vms: Cell<usize>,
     pub(crate) score: RefCell<TargetScore>,
-    pub(crate) limit: Cell<AdaptiveLimit>,
+    pub(crate) concurrency_limit: Cell<AdaptiveLimit>,
     /// Requests that wait for this very target.
-    pub(crate) turns: TurnQueue,
+    pub(crate) wait_queue: TurnQueue,
     pub(crate) pool: SharedPool,
 }
 
@@ -107,53 +107,55 @@
 
 impl RegisteredTarget {
     /// Whether one more request may be sent now.
-    pub(crate) fn has_room(&self) -> bool {
-        self.limit.get().has_room(self.score.borrow().running)
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.concurrency_limit.get().has_room(self.score.borrow().running)
     }
 
     /// Whether a request may be sent now, by what the target bears and told of itself; `stay` as in
     /// [`TargetSigns::may_send`].
     pub(crate) fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
-        self.signs.get().may_send(stay, now) && self.cold.may_send(now) && self.has_turn(now)
+        self.signals.get().may_send(stay, now)
+            && self.cold_limiter.may_send(now)
+            && self.rate_allows(now)
     }
 
     /// Whether its limit has room for one more request of this VM.
-    pub(crate) fn has_turn(&self, now: Timestamp) -> bool {
-        let limit = self.signs.get().limit_beside(self.told_limit.get(), now);
-        self.rate.set(limit, self.sharers.get(), now);
-        self.rate.may_send(now)
+    pub(crate) fn rate_allows(&self, now: Timestamp) -> bool {
+        let limit = self.signals.get().limit_beside(self.reported_limit.get(), now);
+        self.rate_limiter.set(limit, self.sharing_vms.get(), now);
+        self.rate_limiter.may_send(now)
     }
 
     /// Whether this VM or the mandate's holder was told a limit of it that may still count.
     pub(crate) fn may_be_limited(&self) -> bool {
-        let told = matches!(self.told_limit.get(), ToldLimit::Limited(_));
-        told || self.signs.get().limit().is_some()
+        let told = matches!(self.reported_limit.get(), ToldLimit::Limited(_));
+        told || self.signals.get().limit().is_some()
     }
 
     /// Counts a request that is sent now, if it may be: asked when its connection is there, as others may
     /// have been sent meanwhile, and the target may have told something.
-    pub(crate) fn take_turn(&self, stay: Duration, now: Timestamp) -> bool {
+    pub(crate) fn try_take_token(&self, stay: Duration, now: Timestamp) -> bool {
         let may_send = self.may_send(stay, now);
         if may_send {
-            self.cold.note_sent(now);
-            self.rate.note_sent(now);
+            self.cold_limiter.note_sent(now);
+            self.rate_limiter.note_sent(now);
         }
         may_send
     }
 
     /// Gives back what a request took that was not sent after all.
-    pub(crate) fn give_turn_back(&self, now: Timestamp) {
-        self.cold.give_back(now);
-        self.rate.give_back(now);
+    pub(crate) fn return_token(&self, now: Timestamp) {
+        self.cold_limiter.give_back(now);
+        self.rate_limiter.give_back(now);
     }
 
     /// Whether it said that it leaves.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.signs.get().leaving_since().is_some()
+        self.signals.get().leaving_since().is_some()
     }
 
     /// This life of it.
-    pub(crate) fn life(&self) -> HolderRecord {
+    pub(crate) fn instance(&self) -> HolderRecord {
         instance_of(&self.id, self.born, self.address)
     }
 
@@ -163,52 +165,58 @@
     }
 
     /// Learns that nobody listens at its address.
-    fn note_down(&self, now: Timestamp) {
+    fn mark_down(&self, now: Timestamp) {
         self.down_until.set(now + DOWN_TIME);
     }
 
     /// Reckons with it being cold until then.
     fn expect_cold(&self, until: Timestamp, now: Timestamp) {
-        if self.cold.until() < until {
-            self.cold.set_until(until, now);
+        if self.cold_limiter.until() < until {
+            self.cold_limiter.set_until(until, now);
         }
     }
 
     /// Takes over its entry as it is listed now.
-    fn note_listed(&self, entry: &TargetEntry, now: Timestamp) {
+    fn update_from_entry(&self, entry: &TargetEntry, now: Timestamp) {
         self.state.set(entry.state);
         // An old entry's time does not begin again with each list.
-        if self.told_cold.replace(entry.cold_left) != entry.cold_left {
-            self.cold.set_until(now + entry.cold_left, now);
+        if self.listed_cold.replace(entry.cold_left) != entry.cold_left {
+            self.cold_limiter.set_until(now + entry.cold_left, now);
             self.down_until.set(Timestamp::ZERO);
         }
     }
 
     /// Learns how a try ended.
-    pub(crate) fn note_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
+    pub(crate) fn record_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
         self.score.borrow_mut().note(outcome, now);
     }
 
     /// Learns that the target took no more: it refused a request or broke a connection.
-    pub(crate) fn note_refusal(&self) {
-        let mut limit = self.limit.get();
+    pub(crate) fn record_refusal(&self) {
+        let mut limit = self.concurrency_limit.get();
         limit.note_refusal();
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 
     /// Learns that the target answered after `length` while this many requests were under way.
-    pub(crate) fn note_room(&self, running: u32, length: Duration, goal: Duration, now: Timestamp) {
+    pub(crate) fn record_latency(
+        &self,
+        running: u32,
+        length: Duration,
+        goal: Duration,
+        now: Timestamp,
+    ) {
         let unhurried = Duration::from_secs_f64(self.score.borrow().unhurried_ms() / 1_000.0);
-        let mut limit = self.limit.get();
+        let mut limit = self.concurrency_limit.get();
         limit.note_answer(running, length, unhurried, goal, now);
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 
     /// Learns that a request has been under way for a whole latency target.
-    pub(crate) fn note_overdue(&self, goal: Duration, now: Timestamp) {
-        let mut limit = self.limit.get();
+    pub(crate) fn record_overdue(&self, goal: Duration, now: Timestamp) {
+        let mut limit = self.concurrency_limit.get();
         limit.note_overdue(goal, now);
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 }
 
@@ -225,7 +233,7 @@
             let mut score = self.0.score.borrow_mut();
             score.running = score.running.saturating_sub(1);
         }
-        self.0.turns.wake_one();
+        self.0.wait_queue.wake_one();
         self.1.wake_one();
     }
 }
@@ -233,7 +241,7 @@
 /// What decides which targets get requests, beside their entries.
 pub(crate) struct RegistryRules<'a> {
     pub(crate) services: &'a BTreeMap<String, ServiceRule>,
-    pub(crate) bounds: Option<ColdSettings>,
+    pub(crate) cold_settings: Option<ColdSettings>,
     pub(crate) fleet: &'a FleetTable,
     pub(crate) zones: &'a ZoneStates,
 }
@@ -241,25 +249,26 @@
 impl RegistryRules<'_> {
     /// What the targets of a service bear while they are cold, if that is bounded.
     fn cold_rule(&self, service: &str) -> Option<ColdRule> {
-        self.bounds.and(self.services.get(service)?.cold)
+        self.cold_settings.and(self.services.get(service)?.cold)
     }
 
     /// Whether each key of a service has one owner.
-    fn is_divided(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|rule| rule.divided)
+    fn is_sharded(&self, service: &str) -> bool {
+        self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 
     /// This VM's share of what a target bears while it is cold.
     fn cold_share(&self, vm: VmId, entry: &TargetEntry) -> ColdShare {
-        let (Some(bounds), Some(rule)) = (self.bounds, self.cold_rule(&entry.service)) else {
+        let (Some(bounds), Some(rule)) = (self.cold_settings, self.cold_rule(&entry.service))
+        else {
             return ColdShare::Unbounded;
         };
         let most = rule.rate * bounds.overage + bounds.slack;
         let bound = ColdBound { rate: rule.rate, most };
-        if self.is_divided(&entry.service) {
+        if self.is_sharded(&entry.service) {
             return ColdShare::of_everyone(bound, self.fleet.vms.len());
         }
-        match self.fleet.is_sender(vm, &entry.id, &entry.zone) {
+        match self.fleet.sends_to_cold(vm, &entry.id, &entry.zone) {
             true => ColdShare::of_sender(bound),
             false => ColdShare::Nothing,
         }
@@ -274,11 +283,11 @@
     by_id: HashMap<String, Rc<RegisteredTarget>>,
     by_service: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// What lives told of themselves that are not listed now: they may be listed once more.
-    unlisted_signs: HashMap<HolderRecord, SharedSignals>,
+    unlisted_signals: HashMap<HolderRecord, SharedSignals>,
     /// This VM's part of each service.
     subsets: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// Services of which this VM's part is smaller than it would be on a small fleet.
-    shared_out: HashSet<String>,
+    partitioned: HashSet<String>,
 }
 
 impl TargetRegistry {
@@ -290,19 +299,19 @@
     /// The roster of a new list; members that stay keep what was learned.
     pub(crate) fn rebuild(&self, list: &TargetList, rules: &RegistryRules<'_>) -> Self {
         let now = BootClock.now();
-        let mark = VmId::of(&self.vm, &self.zone);
-        let sharers = rules.fleet.sharers(mark);
+        let mark = VmId::new(&self.vm, &self.zone);
+        let sharers = rules.fleet.count_including(mark);
         let mut roster = Self::new(self.vm.clone(), self.zone.clone());
         for entry in list.values() {
-            let member = self.member_of(entry, now);
+            let member = self.target_for_entry(entry, now);
             member.cold_rule.set(rules.cold_rule(&entry.service));
-            member.divided.set(rules.is_divided(&entry.service));
-            member.cold.set_share(rules.cold_share(mark, entry), now);
-            member.sharers.set(sharers);
+            member.sharded.set(rules.is_sharded(&entry.service));
+            member.cold_limiter.set_share(rules.cold_share(mark, entry), now);
+            member.sharing_vms.set(sharers);
             if let (Some(rule), Some(returned)) =
-                (member.cold_rule.get(), rules.zones.returned(&entry.zone))
+                (member.cold_rule.get(), rules.zones.returned_at(&entry.zone))
             {
-                member.expect_cold(returned + rule.length, now);
+                member.expect_cold(returned + rule.duration, now);
             }
             roster.by_id.insert(entry.id.clone(), Rc::clone(&member));
             if rules.zones.is_evacuated(&entry.zone) {
@@ -316,35 +325,35 @@
             let near = members.iter().filter(|member| member.zone == roster.zone).count();
             let usual = near.min(NEAR_MEMBERS) + (members.len() - near).min(FAR_MEMBERS);
             if subset.len() < usual {
-                roster.shared_out.insert(service.clone());
+                roster.partitioned.insert(service.clone());
             }
             roster.subsets.insert(service.clone(), subset);
         }
-        roster.unlisted_signs = self.unlisted_signs.clone();
+        roster.unlisted_signals = self.unlisted_signals.clone();
         for (id, member) in &self.by_id {
             if !roster.by_id.get(id).is_some_and(|kept| Rc::ptr_eq(kept, member)) {
                 member.pool.clear();
-                roster.unlisted_signs.insert(member.life(), Rc::clone(&member.signs));
+                roster.unlisted_signals.insert(member.instance(), Rc::clone(&member.signals));
             }
         }
-        roster.unlisted_signs.retain(|_, signs| signs.get().is_told(now));
-        if roster.unlisted_signs.len() > UNLISTED_MOST {
-            roster.unlisted_signs.clear();
+        roster.unlisted_signals.retain(|_, signs| signs.get().is_told(now));
+        if roster.unlisted_signals.len() > UNLISTED_MOST {
+            roster.unlisted_signals.clear();
         }
         roster
     }
 
     /// The member of an entry; another life of a target is another member.
-    fn member_of(&self, entry: &TargetEntry, now: Timestamp) -> Rc<RegisteredTarget> {
-        let rank = VmId::of(&self.vm, &self.zone).rank(&entry.id);
+    fn target_for_entry(&self, entry: &TargetEntry, now: Timestamp) -> Rc<RegisteredTarget> {
+        let rank = VmId::new(&self.vm, &self.zone).rank(&entry.id);
         let known = self.by_id.get(&entry.id);
         match known.filter(|one| one.address == entry.address && one.born == entry.born) {
             Some(member) => {
-                member.note_listed(entry, now);
+                member.update_from_entry(entry, now);
                 Rc::clone(member)
             }
             None => {
-                let signs = self.unlisted_signs.get(&entry.holder()).cloned();
+                let signs = self.unlisted_signals.get(&entry.instance()).cloned();
                 Rc::new(new_member(entry, signs.unwrap_or_default(), rank, now))
             }
         }
@@ -353,7 +362,7 @@
     /// When the next target that is bounded while it is cold gets warm.
     pub(crate) fn next_warm(&self, now: Timestamp) -> Option<Timestamp> {
         let cold = self.by_id.values().filter(|member| member.cold_rule.get().is_some());
-        cold.map(|member| member.cold.until()).filter(|until| *until > now).min()
+        cold.map(|member| member.cold_limiter.until()).filter(|until| *until > now).min()
     }
 
     /// Whether no target at all is known.
@@ -362,7 +371,7 @@
     }
 
     /// The members of a service that take requests.
-    pub(crate) fn members(&self, service: &str) -> &[Rc<RegisteredTarget>] {
+    pub(crate) fn available(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -373,19 +382,19 @@
 
     /// Whether VMs are so many for a service that its targets are shared out among them: then a VM whose
     /// part is full does not go to the others' targets, which would be full as well.
-    pub(crate) fn shares_out(&self, service: &str) -> bool {
-        self.shared_out.contains(service)
+    pub(crate) fn is_partitioned(&self, service: &str) -> bool {
+        self.partitioned.contains(service)
     }
 
     /// Takes over what the mandate's holder tells of limits.
-    pub(crate) fn note_told_limits(&self, table: &AdmissionTable) {
+    pub(crate) fn set_reported_limits(&self, table: &AdmissionTable) {
         for (id, member) in &self.by_id {
-            member.told_limit.set(table.limit(id, member.born));
+            member.reported_limit.set(table.reported_limit(id, member.born));
         }
     }
 
     /// The member that is this holder of keys, if it takes requests.
-    pub(crate) fn find(&self, holder: &HolderRecord) -> Option<&Rc<RegisteredTarget>> {
+    pub(crate) fn find_instance(&self, holder: &HolderRecord) -> Option<&Rc<RegisteredTarget>> {
         let member = self.by_id.get(&holder.id)?;
         let same = member.born == holder.born;
         (same && member.state.get() == TargetState::Ready).then_some(member)
@@ -396,19 +405,19 @@
     /// Its entry tells so, but not while it is cut off from the store. Several in one zone at once are
     /// rather cut off from this VM, and then to reckon with cold ones would leave the zone unused after
     /// the cut. An owner of keys that starts again holds none until its entry is known.
-    pub(crate) fn note_down(&self, member: &RegisteredTarget, now: Timestamp) {
-        member.note_down(now);
-        let Some(rule) = member.cold_rule.get().filter(|_| !member.divided.get()) else { return };
+    pub(crate) fn mark_down(&self, member: &RegisteredTarget, now: Timestamp) {
+        member.mark_down(now);
+        let Some(rule) = member.cold_rule.get().filter(|_| !member.sharded.get()) else { return };
         let in_zone = self.by_id.values().filter(|one| one.zone == member.zone);
         if in_zone.filter(|one| one.is_down(now)).count() <= FALLEN_MOST {
-            member.expect_cold(now + DOWN_TIME + rule.length, now);
+            member.expect_cold(now + DOWN_TIME + rule.duration, now);
         }
     }
 
     /// How many members told what still counts.
-    pub(crate) fn count_signs(&self, now: Timestamp) -> SignalCounts {
+    pub(crate) fn count_signals(&self, now: Timestamp) -> SignalCounts {
         let mut counts = SignalCounts::default();
-        for signs in self.by_id.values().map(|member| member.signs.get()) {
+        for signs in self.by_id.values().map(|member| member.signals.get()) {
             counts.leaving += i64::from(signs.leaving_since().is_some());
             counts.paused += i64::from(signs.is_paused(now));
             counts.limited += i64::from(signs.limit().is_some());
@@ -430,15 +439,15 @@
     fleet: &FleetTable,
     now: Timestamp,
 ) -> Vec<Rc<RegisteredTarget>> {
-    let is_bounded = |member: &&Rc<RegisteredTarget>| member.cold.is_bounded(now);
+    let is_bounded = |member: &&Rc<RegisteredTarget>| member.cold_limiter.is_bounded(now);
     let (cold, warm): (Vec<_>, Vec<_>) = members.iter().partition(is_bounded);
-    let warmed = cold.into_iter().filter(|member| member.cold.sends());
+    let warmed = cold.into_iter().filter(|member| member.cold_limiter.sends());
     let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|member| member.zone == zone);
-    let near_part = match fleet.place_in_zone(vm) {
+    let near_part = match fleet.index_in_zone(vm) {
         Some((place, vms)) => even_members(near, place, vms, NEAR_MEMBERS),
         None => ranked_members(vm, near, NEAR_MEMBERS),
     };
-    let far_part = match fleet.place(vm) {
+    let far_part = match fleet.index(vm) {
         Some((place, vms)) => even_members(far, place, vms, FAR_MEMBERS),
         None => ranked_members(vm, far, FAR_MEMBERS),
     };
@@ -485,18 +494,18 @@
         zone: entry.zone.clone(),
         slots: entry.slots,
         state: Cell::new(entry.state),
-        divided: Cell::new(false),
-        told_cold: Cell::new(entry.cold_left),
+        sharded: Cell::new(false),
+        listed_cold: Cell::new(entry.cold_left),
         cold_rule: Cell::new(None),
-        cold: ColdGate::new(now + entry.cold_left, phase, now),
+        cold_limiter: ColdGate::new(now + entry.cold_left, phase, now),
         down_until: Cell::new(Timestamp::ZERO),
-        signs,
-        told_limit: Cell::default(),
-        rate: RateGate::new(rank),
-        sharers: Cell::new(0),
+        signals: signs,
+        reported_limit: Cell::default(),
+        rate_limiter: RateGate::new(rank),
+        sharing_vms: Cell::new(0),
         score: RefCell::new(TargetScore::new(USUAL_LATENCY)),
-        limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
-        turns: TurnQueue::default(),
+        concurrency_limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
+        wait_queue: TurnQueue::default(),
         pool: SharedPool::default(),
     }
 }
--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -41,12 +41,12 @@
 impl TargetEntry {
     /// Whether this life of it leaves, though a later entry of it says otherwise: none comes back from that, but
     /// the store may forget it.
-    pub(crate) fn has_left(&self, later: &Self) -> bool {
-        self.state == TargetState::Draining && self.holder() == later.holder()
+    pub(crate) fn left_before(&self, later: &Self) -> bool {
+        self.state == TargetState::Draining && self.instance() == later.instance()
     }
 
     /// This life of it, as an owner of keys.
-    pub(crate) fn holder(&self) -> HolderRecord {
+    pub(crate) fn instance(&self) -> HolderRecord {
         instance_of(&self.id, self.born, self.address)
     }
 }
--- a/crates/nickellead_gateway/src/worker/answers.rs
+++ b/crates/nickellead_gateway/src/worker/answers.rs
@@ -89,9 +89,9 @@
             return Some(self.pause_left(planned).max(usual).div_f64(1.0 - SPREAD / 2.0));
         }
         let answer = planned.route.rule.latency_target.mul_f64(ANSWER_PART);
-        let spare = planned.in_time_until().saturating_duration_since(Instant::now() + answer);
+        let spare = planned.latency_deadline().saturating_duration_since(Instant::now() + answer);
         Some(match spare.is_zero() {
-            true => planned.left().mul_f64(LATE_PART),
+            true => planned.remaining().mul_f64(LATE_PART),
             false => usual.min(spare.mul_f64(SPARE_PART)),
         })
     }
@@ -106,8 +106,8 @@
                 [("request", &id), ("error", &code), ("version", &version)];
             return log_event(EventName::RequestFailed, &pairs);
         };
-        let after = planned.arrived.elapsed().as_millis();
-        let age = planned.age.as_millis();
+        let after = planned.arrived_at.elapsed().as_millis();
+        let age = planned.caller_age.as_millis();
         let ages = [beliefs.taken.declarations, beliefs.taken.targets, beliefs.taken.ranges]
             .map(|taken| taken.elapsed().as_millis());
         let mut pairs: Vec<(&str, &dyn std::fmt::Display)> = vec![
@@ -139,7 +139,7 @@
             ("request", &id),
             ("route", &planned.route.rule.name),
             ("status", &answer.status.as_u16()),
-            ("after_ms", &planned.arrived.elapsed().as_millis()),
+            ("after_ms", &planned.arrived_at.elapsed().as_millis()),
             ("version", &self.beliefs.borrow().version.unwrap_or_default()),
         ];
         log_event(EventName::RequestAnswered, &pairs);
@@ -153,7 +153,7 @@
     planned: &'a IncomingRequest,
 ) -> Option<(&'a str, &'a u16)> {
     let divided = |part: &&WeightedService| beliefs.is_divided(&part.service);
-    let part = planned.route.rule.parts.iter().find(divided)?;
+    let part = planned.route.rule.split.iter().find(divided)?;
     Some((&part.service, planned.key.as_ref()?))
 }
 
--- a/crates/nickellead_gateway/src/worker/choose.rs
+++ b/crates/nickellead_gateway/src/worker/choose.rs
@@ -41,7 +41,7 @@
             };
             let divided = self.beliefs.borrow().is_divided(service);
             let service_queue = self.queue(service);
-            let turns = if divided { &member.turns } else { &*service_queue };
+            let turns = if divided { &member.wait_queue } else { &*service_queue };
             let ahead = match divided {
                 true => turns.waiting(),
                 // The turns of all members come to the one queue.
@@ -67,25 +67,25 @@
         let mut chosen = self.choose_member(planned, service, state).await;
         while chosen.is_err() && self.beliefs.borrow().roster.is_empty() {
             // The VM has just started: what it is told next is the list of targets.
-            self.wait_for_targets(planned.in_time_until()).await?;
+            self.wait_for_targets(planned.latency_deadline()).await?;
             chosen = self.choose_member(planned, service, state).await;
         }
         let member = chosen?;
         let now = BootClock.now();
-        if member.signs.get().is_paused(now) {
+        if member.signals.get().is_paused(now) {
             return Err(ErrorKind::TargetPaused);
         }
-        if !member.cold.may_send(now) {
+        if !member.cold_limiter.may_send(now) {
             // Its keys have no other owner, and it would fall over for more.
             return Err(ErrorKind::Overloaded);
         }
-        if !member.has_turn(now) {
+        if !member.rate_allows(now) {
             return Err(ErrorKind::TargetLimited);
         }
         if !self.reach.may_try(&member.zone, now) {
             return Err(ErrorKind::TargetUnreachable);
         }
-        if !member.has_room() {
+        if !member.has_capacity() {
             return Ok(RoomLook::Full(member));
         }
         self.reach.note_try(&member.zone, now);
@@ -100,9 +100,9 @@
         member: &RegisteredTarget,
         ahead: usize,
     ) -> Option<Duration> {
-        let limit = member.limit.get();
+        let limit = member.concurrency_limit.get();
         let answer = limit.answer_time(planned.route.rule.latency_target);
-        let whole = planned.in_time_until().saturating_duration_since(Instant::now());
+        let whole = planned.latency_deadline().saturating_duration_since(Instant::now());
         let left = whole.saturating_sub(answer);
         let comes = left >= limit.expected_wait(ahead, answer);
         let hopeful = comes || !self.policy.turn_prediction.is_on();
@@ -148,7 +148,7 @@
     /// Whether a member owns keys and wants nothing now: nobody else can serve them.
     pub(super) fn owner_is_paused(&self, service: &str, member: &RegisteredTarget) -> bool {
         let divided = self.beliefs.borrow().is_divided(service);
-        divided && member.signs.get().is_paused(BootClock.now())
+        divided && member.signals.get().is_paused(BootClock.now())
     }
 
     /// How long it takes until a target that could serve a request wants requests again.
@@ -161,15 +161,16 @@
         {
             Some(key) => {
                 let range = beliefs.ranges.find(&part.service, key);
-                let owner = range.and_then(|range| beliefs.roster.find(range.owner.as_ref()?));
-                owner.map(|owner| owner.signs.get().pause_left(now))
+                let owner =
+                    range.and_then(|range| beliefs.roster.find_instance(range.owner.as_ref()?));
+                owner.map(|owner| owner.signals.get().pause_left(now))
             }
             None => {
-                let members = beliefs.roster.members(&part.service).iter();
-                members.map(|member| member.signs.get().pause_left(now)).min()
+                let members = beliefs.roster.available(&part.service).iter();
+                members.map(|member| member.signals.get().pause_left(now)).min()
             }
         };
-        planned.route.rule.parts.iter().filter_map(part_pause).min().unwrap_or_default()
+        planned.route.rule.split.iter().filter_map(part_pause).min().unwrap_or_default()
     }
 
     fn balance(&self, service: &str, tried: &[String]) -> Result<Rc<RegisteredTarget>, ErrorKind> {
@@ -185,19 +186,19 @@
         };
         let part = match self.policy.subsets.is_on() {
             true => beliefs.roster.subset(service),
-            false => beliefs.roster.members(service),
+            false => beliefs.roster.available(service),
         };
-        let all = beliefs.roster.members(service);
+        let all = beliefs.roster.available(service);
         let mut fresh: Vec<&Rc<RegisteredTarget>> = part.iter().filter(reached).collect();
-        let full = !fresh.iter().any(|member| member.has_room());
-        if fresh.is_empty() || full && !beliefs.roster.shares_out(service) {
+        let full = !fresh.iter().any(|member| member.has_capacity());
+        if fresh.is_empty() || full && !beliefs.roster.is_partitioned(service) {
             fresh = all.iter().filter(reached).collect();
         }
         if fresh.is_empty() {
             fresh = all.iter().filter(usable).collect();
         }
-        if fresh.iter().any(|member| member.has_room()) {
-            fresh.retain(|member| member.has_room());
+        if fresh.iter().any(|member| member.has_capacity()) {
+            fresh.retain(|member| member.has_capacity());
         }
         let scores: Vec<_> = fresh.iter().map(|member| member.score.borrow()).collect();
         let candidates: Vec<Candidate<'_>> = fresh
@@ -207,7 +208,7 @@
                 score,
                 slots: member.slots,
                 near: member.zone == self.zone,
-                cold: member.cold.is_cold(now),
+                cold: member.cold_limiter.is_cold(now),
             })
             .collect();
         let rules = ChoiceRules {
@@ -232,8 +233,8 @@
         }
         // Nobody else can serve the key, so the request waits for as long as it can be in time.
         let until = match self.policy.move_wait.is_on() {
-            true => planned.in_time_until().min(planned.until),
-            false => planned.arrived,
+            true => planned.latency_deadline().min(planned.deadline),
+            false => planned.arrived_at,
         };
         let waiting = wait_for(&self.changed, || self.owner(service, key, state));
         let waited = tokio::time::timeout_at(until.into(), waiting).await;
@@ -247,8 +248,8 @@
         let owner = range.owner.as_ref().filter(|_| range.settled);
         let mut ownerless = self.ownerless.borrow_mut();
         let now = BootClock.now();
-        let owner = owner.and_then(|owner| beliefs.roster.find(owner));
-        if let Some(leaving) = owner.and_then(|owner| owner.signs.get().leaving_since()) {
+        let owner = owner.and_then(|owner| beliefs.roster.find_instance(owner));
+        if let Some(leaving) = owner.and_then(|owner| owner.signals.get().leaving_since()) {
             // Its keys have been about to move since it said that it leaves.
             return now.since(leaving) >= self.leaving_stay.max(OWNERLESS_LONG);
         }
@@ -265,9 +266,9 @@
         let beliefs = self.beliefs.borrow();
         let range = beliefs.ranges.find(service, key).filter(|range| range.settled)?;
         let owner = range.owner.as_ref().filter(|owner| !state.misdirected.contains(&owner.id))?;
-        let member = beliefs.roster.find(owner)?;
+        let member = beliefs.roster.find_instance(owner)?;
         let now = BootClock.now();
-        let stays = member.signs.get().stays(self.leaving_stay, now);
+        let stays = member.signals.get().stays(self.leaving_stay, now);
         let asked = stays && !beliefs.zones.is_closed(&member.zone, now);
         asked.then(|| Rc::clone(member))
     }
@@ -278,9 +279,9 @@
     let staying = || members.iter().filter(|member| !member.is_leaving());
     if staying().next().is_none() {
         ErrorKind::NoTarget
-    } else if staying().any(|member| member.signs.get().is_paused(now)) {
+    } else if staying().any(|member| member.signals.get().is_paused(now)) {
         ErrorKind::TargetPaused
-    } else if staying().any(|member| !member.has_turn(now)) {
+    } else if staying().any(|member| !member.rate_allows(now)) {
         ErrorKind::TargetLimited
     } else {
         ErrorKind::Overloaded
--- a/crates/nickellead_gateway/src/worker/judge.rs
+++ b/crates/nickellead_gateway/src/worker/judge.rs
@@ -29,17 +29,17 @@
         end: AttemptEnd,
         length: Duration,
     ) -> NextStep {
-        let AttemptEnd { result, signs, .. } = end;
+        let AttemptEnd { result, signals: signs, .. } = end;
         self.learn(planned, member, &result, signs, length);
         count_try(state, member, &result);
         if let Some(reason) = retry_reason(&result) {
             log_retry(planned, member, reason);
         }
         match result {
-            AttemptResult::Answered(answer) if answer.status.is_server_error() => {
+            AttemptResult::Responded(answer) if answer.status.is_server_error() => {
                 after_failure(planned, state, answer)
             }
-            AttemptResult::Answered(answer) => NextStep::Done(answer),
+            AttemptResult::Responded(answer) => NextStep::Done(answer),
             AttemptResult::Shed
             | AttemptResult::Misdirected
             | AttemptResult::NotSent(_)
@@ -64,33 +64,33 @@
         let now = BootClock.now();
         self.learn_reach(member, result, now);
         match result {
-            AttemptResult::Answered(answer) if answer.status.is_server_error() => {
-                member.note_outcome(TargetOutcome::Failed, now);
+            AttemptResult::Responded(answer) if answer.status.is_server_error() => {
+                member.record_outcome(TargetOutcome::Failed, now);
             }
-            AttemptResult::Answered(_) => {
-                self.keys.note_answer(&member.id, length, planned.route.rule.latency_target);
+            AttemptResult::Responded(_) => {
+                self.keys.record_response(&member.id, length, planned.route.rule.latency_target);
                 note_answer(member, length, goal, now);
             }
             AttemptResult::Shed => {
-                self.keys.note_lost(&member.id);
-                member.note_refusal();
+                self.keys.record_lost(&member.id);
+                member.record_refusal();
                 // A pause has its own end, and says nothing of the target's health.
                 if signs.pause.is_none() {
-                    member.note_outcome(TargetOutcome::Shed, now);
+                    member.record_outcome(TargetOutcome::Shed, now);
                 }
             }
             // Its beliefs about keys differ, which says nothing of its health.
             AttemptResult::Misdirected | AttemptResult::Withheld => {}
             AttemptResult::NotSent(failure) => {
                 if *failure == ConnectFailure::Refused {
-                    self.beliefs.borrow().roster.note_down(member, now);
+                    self.beliefs.borrow().roster.mark_down(member, now);
                 }
-                member.note_outcome(TargetOutcome::Broken, now);
+                member.record_outcome(TargetOutcome::Broken, now);
             }
             AttemptResult::Lost(_) => {
-                self.keys.note_lost(&member.id);
-                member.note_refusal();
-                member.note_outcome(TargetOutcome::Broken, now);
+                self.keys.record_lost(&member.id);
+                member.record_refusal();
+                member.record_outcome(TargetOutcome::Broken, now);
             }
         }
     }
@@ -107,40 +107,40 @@
         signs: ResponseSignals,
         sent: Timestamp,
     ) {
-        self.metrics.count_signs(signs);
+        self.metrics.count_signals(signs);
         let now = BootClock.now();
-        let mut known = member.signs.get();
+        let mut known = member.signals.get();
         let mut new = false;
         if signs.leaving {
             // Told on each answer, as the holder that was told before may be gone.
-            self.keys.note_leaving(member.life());
+            self.keys.record_leaving(member.instance());
             if known.note_leaving(now) {
                 new = true;
                 log_event(EventName::TargetLeaving, &[("target", &member.id)]);
             }
         }
         if let Some(pause) = signs.pause {
-            self.keys.note_pause(&member.id, pause);
+            self.keys.record_pause(&member.id, pause);
             let spread = 1.0 + self.rng.borrow_mut().f64() * PAUSE_SPREAD;
             if known.note_pause(pause.mul_f64(spread), now) {
                 new = true;
                 log_pause(member, pause);
             }
         }
-        if let Some(limit) = signs.limit.told() {
+        if let Some(limit) = signs.limit.reported() {
             if limit.is_some() || member.may_be_limited() {
                 // Told on each answer, as the holder that was told before may be gone.
-                self.keys.note_limit(member.life(), limit);
+                self.keys.record_limit(member.instance(), limit);
             }
             if known.note_limit(limit, sent, now) {
                 new = true;
                 log_limit(member, limit);
             }
         }
-        member.signs.set(known);
+        member.signals.set(known);
         if new {
             // Who waits for a turn there looks for another target, or is refused at once.
-            member.turns.wake_all();
+            member.wait_queue.wake_all();
             self.queue(service).wake_all();
         }
     }
@@ -148,10 +148,10 @@
     /// Learns whether the target's zone can be reached.
     fn learn_reach(&self, member: &RegisteredTarget, result: &AttemptResult, now: Timestamp) {
         match result {
-            AttemptResult::NotSent(ConnectFailure::Silent) => {
+            AttemptResult::NotSent(ConnectFailure::TimedOut) => {
                 self.reach.note_silent(&member.zone, &member.id, now);
             }
-            AttemptResult::Answered(_) | AttemptResult::Shed | AttemptResult::Misdirected => {
+            AttemptResult::Responded(_) | AttemptResult::Shed | AttemptResult::Misdirected => {
                 self.reach.note_answer(&member.zone);
             }
             AttemptResult::NotSent(_) | AttemptResult::Withheld | AttemptResult::Lost(_) => {}
@@ -163,19 +163,19 @@
 fn note_answer(member: &RegisteredTarget, length: Duration, goal: Duration, now: Timestamp) {
     // The try itself has ended and is counted no more.
     let running = member.score.borrow().running + 1;
-    member.note_outcome(TargetOutcome::Answered(length), now);
-    member.note_room(running, length, goal, now);
+    member.record_outcome(TargetOutcome::Answered(length), now);
+    member.record_latency(running, length, goal, now);
 }
 
 /// Counts a try that may be followed by another one; the request ends with a good answer.
 fn count_try(state: &mut TryState, member: &RegisteredTarget, result: &AttemptResult) {
     state.tried.push(member.id.clone());
     match result {
-        AttemptResult::Answered(answer) if answer.status.is_server_error() => {
+        AttemptResult::Responded(answer) if answer.status.is_server_error() => {
             state.sent += 1;
             state.may_have_run = true;
         }
-        AttemptResult::Answered(_) => {}
+        AttemptResult::Responded(_) => {}
         AttemptResult::Shed => state.sent += 1,
         AttemptResult::Misdirected => {
             state.misdirected.push(member.id.clone());
@@ -192,7 +192,7 @@
 /// Why a try gave no answer, in the words of the log.
 fn retry_reason(result: &AttemptResult) -> Option<&'static str> {
     match result {
-        AttemptResult::Answered(_) => None,
+        AttemptResult::Responded(_) => None,
         AttemptResult::Shed => Some("shed"),
         AttemptResult::Misdirected => Some("not-owner"),
         AttemptResult::NotSent(failure) => Some(failure.as_str()),
@@ -238,7 +238,7 @@
         ("request", &id),
         ("target", &member.id),
         ("reason", &reason),
-        ("after_ms", &planned.arrived.elapsed().as_millis()),
+        ("after_ms", &planned.arrived_at.elapsed().as_millis()),
     ];
     log_event(EventName::RequestRetried, &pairs);
 }
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -79,7 +79,7 @@
     fn rebuild_roster(&mut self, bounds: Option<ColdSettings>) {
         let rules = RegistryRules {
             services: &self.services,
-            bounds,
+            cold_settings: bounds,
             fleet: &self.fleet,
             zones: &self.zones,
         };
@@ -88,7 +88,7 @@
 
     /// Whether each key of a service has one owner.
     fn is_divided(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|rule| rule.divided)
+        self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 }
 
@@ -228,7 +228,7 @@
     /// Takes over which availability zones are evacuated.
     pub(crate) fn set_evacuations(&self, zones: &EvacuatedZones) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.zones.take(zones, BootClock.now());
+        beliefs.zones.update(zones, BootClock.now());
         beliefs.rebuild_roster(self.cold);
         self.changed.notify_waiters();
     }
@@ -265,7 +265,7 @@
     /// Takes over the holder's word about crowded owners and targets that name limits.
     pub(crate) fn set_admissions(&self, admissions: Arc<AdmissionTable>) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.roster.note_told_limits(&admissions);
+        beliefs.roster.set_reported_limits(&admissions);
         beliefs.admissions = CachedAdmission::new(admissions);
     }
 
@@ -283,15 +283,15 @@
         };
         let planned = match read_request(request, &self.names, limits, &table).await {
             Ok(planned) if self.policy.caller_age.is_on() => planned,
-            Ok(planned) => IncomingRequest { age: Duration::ZERO, ..planned },
+            Ok(planned) => IncomingRequest { caller_age: Duration::ZERO, ..planned },
             Err(kind) => return self.refuse_unread(kind, &id),
         };
-        if self.drain.would_cut(planned.until) {
+        if self.drain.ends_before(planned.deadline) {
             return self.refuse(ErrorKind::Stopping, &id, Some(&planned));
         }
         match self.serve(&planned).await {
             Ok(answer) => {
-                self.metrics.note_answer(planned.main_service(), planned.arrived.elapsed());
+                self.metrics.record_response(planned.main_service(), planned.arrived_at.elapsed());
                 self.log_sample(&id, &planned, &answer);
                 pass_on(answer)
             }
@@ -314,7 +314,7 @@
         let metrics = &self.metrics;
         let opened = i64::try_from(beliefs.roster.opened()).unwrap_or(i64::MAX);
         metrics.connections.set(opened);
-        let signs = beliefs.roster.count_signs(BootClock.now());
+        let signs = beliefs.roster.count_signals(BootClock.now());
         metrics.leaving.set(signs.leaving);
         metrics.paused.set(signs.paused);
         metrics.limited.set(signs.limited);
--- a/crates/nickellead_gateway/src/worker/tries.rs
+++ b/crates/nickellead_gateway/src/worker/tries.rs
@@ -21,7 +21,7 @@
         &self,
         planned: &IncomingRequest,
     ) -> Result<TargetResponse, ErrorKind> {
-        let part = planned.route.next_part().ok_or(ErrorKind::NoTarget)?;
+        let part = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
         self.note_request(planned, &part.service);
         if !self.is_admitted(planned, &part.service) {
             return Err(ErrorKind::Overloaded);
@@ -42,7 +42,7 @@
                     return finish(state, kind);
                 }
             };
-            self.note_signs(&part.service, &member, end.signs, end.sent);
+            self.note_signs(&part.service, &member, end.signals, end.sent_at);
             match self.judge(planned, &member, &mut state, end, since.elapsed()) {
                 NextStep::Done(answer) => return Ok(answer),
                 NextStep::Fail(kind) => return finish(state, kind),
@@ -64,18 +64,18 @@
         tokio::select! {
             // The end of one request makes room for another one, which must not begin then.
             biased;
-            () = self.drain.last_moment() => Err(ErrorKind::Stopping),
+            () = self.drain.wait_for_deadline() => Err(ErrorKind::Stopping),
             done = work => Ok(done),
         }
     }
 
     /// Counts a request for the share of further tries, and its key for the spread of load.
     fn note_request(&self, planned: &IncomingRequest, service: &str) {
-        self.retries.borrow_mut().note_request(service);
+        self.retries.borrow_mut().record_request(service);
         if let Some(key) = planned.key
             && self.beliefs.borrow().is_divided(service)
         {
-            self.keys.note(service, key);
+            self.keys.record_request(service, key);
         }
     }
 
@@ -86,18 +86,19 @@
         let Some(key) = planned.key.filter(|_| self.policy.shared_admission.is_on()) else {
             return true;
         };
-        let share = self.beliefs.borrow().admissions.share(service, key);
+        let share = self.beliefs.borrow().admissions.fraction(service, key);
         share >= 1.0 || self.rng.borrow_mut().f64() < share
     }
 
     /// Whether one more try is allowed; if so, it is taken from the service's share of them.
     fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &TryState) -> bool {
         let within = state.sent < planned.route.rule.attempts && state.unsent < UNSENT_TRIES;
-        if !within || planned.left() < RETURN_TIME * 2 {
+        if !within || planned.remaining() < RETURN_TIME * 2 {
             return false;
         }
         // Only tries that reached a target add to the load that the share bounds.
-        state.sent == 0 || self.policy.retries.is_on() && self.retries.borrow_mut().take(service)
+        state.sent == 0
+            || self.policy.retries.is_on() && self.retries.borrow_mut().try_take(service)
     }
 
     /// Tries a request at one target, which counts it as running meanwhile.
@@ -108,12 +109,12 @@
         member: &Rc<RegisteredTarget>,
     ) -> AttemptEnd {
         let _running = InFlightGuard::new(member, &self.queue(service));
-        let until = planned.until.checked_sub(RETURN_TIME).unwrap_or(planned.until);
+        let until = planned.deadline.checked_sub(RETURN_TIME).unwrap_or(planned.deadline);
         let plan = AttemptPlan {
-            member,
+            target: member,
             repeat: planned.route.rule.repeat,
-            stay: self.leaving_stay,
-            until,
+            leaving_window: self.leaving_stay,
+            deadline: until,
         };
         let watch = AbandonWatch { member, since: Instant::now(), armed: true };
         let goal = planned.route.rule.latency_target;
@@ -123,7 +124,7 @@
             Err(_) => {
                 // A target that swallows requests is known by their age, long before their end.
                 if self.policy.answer_time_limit.is_on() {
-                    member.note_overdue(goal, BootClock.now());
+                    member.record_overdue(goal, BootClock.now());
                 }
                 trying.await
             }
@@ -172,7 +173,7 @@
     fn drop(&mut self) {
         if self.armed {
             let outcome = TargetOutcome::Abandoned(self.since.elapsed());
-            self.member.note_outcome(outcome, BootClock.now());
+            self.member.record_outcome(outcome, BootClock.now());
         }
     }
 }
--- a/crates/nickellead_gateway/tests/cold_targets.rs
+++ b/crates/nickellead_gateway/tests/cold_targets.rs
@@ -16,7 +16,7 @@
 use nickellead_gateway::{ColdRule, ColdSettings, Declarations, TargetEntry};
 
 const VMS: usize = 8;
-const RULE: ColdRule = ColdRule { length: Duration::from_secs(3), rate: 6.0 };
+const RULE: ColdRule = ColdRule { duration: Duration::from_secs(3), rate: 6.0 };
 const SETTINGS: ColdSettings = ColdSettings { overage: 1.5, slack: 8.0 };
 /// Most requests that may reach a cold target in one second.
 const MOST: usize = 17;
@@ -86,7 +86,7 @@
 }
 
 fn cold_entry(target: &TestTarget) -> TargetEntry {
-    TargetEntry { cold_left: RULE.length, ..entry(&target.id, "plain", target.address) }
+    TargetEntry { cold_left: RULE.duration, ..entry(&target.id, "plain", target.address) }
 }
 
 #[test]
@@ -98,7 +98,8 @@
     let gateways = start_fleet("vm-cold", &store);
     let newcomer = TestTarget::start("newcomer", Manner::Serves);
     store.list(cold_entry(&newcomer));
-    let seen = arrivals_while_asked(&gateways, &newcomer, RULE.length - Duration::from_millis(300));
+    let seen =
+        arrivals_while_asked(&gateways, &newcomer, RULE.duration - Duration::from_millis(300));
     let first = seen.iter().find(|one| one.1 > 0).map(|one| one.0 - seen[0].0);
     assert!(most_in_a_second(&seen) <= MOST, "{} in a second", most_in_a_second(&seen));
     assert!(first.is_some_and(|first| first < Duration::from_secs(1)), "first after {first:?}");
--- a/crates/nickellead_gateway/tests/common/many_routes.rs
+++ b/crates/nickellead_gateway/tests/common/many_routes.rs
@@ -15,7 +15,7 @@
         latency_target: Duration::from_millis(250),
         priority: 1,
         attempts: 2,
-        parts: vec![WeightedService { service: "plain".to_owned(), weight }],
+        split: vec![WeightedService { service: "plain".to_owned(), weight }],
     }
 }
 
@@ -34,7 +34,7 @@
         route.latency_target = Duration::from_millis(50 * random.u64(1..=20));
         route.priority = random.u8(0..=3);
         route.attempts = random.u32(1..=3);
-        route.parts[0].service = format!("service-{}", random.u8(1..=40));
+        route.split[0].service = format!("service-{}", random.u8(1..=40));
         if random.bool() {
             route.repeat = RepeatClass::Unsafe;
         }
--- a/crates/nickellead_gateway/tests/common/mod.rs
+++ b/crates/nickellead_gateway/tests/common/mod.rs
@@ -62,13 +62,13 @@
         latency_target: Duration::from_millis(500),
         priority: 1,
         attempts: 2,
-        parts: vec![WeightedService { service: service.to_owned(), weight: 1.0 }],
+        split: vec![WeightedService { service: service.to_owned(), weight: 1.0 }],
     }
 }
 
 /// Declarations with a safe route `/read/` and an unsafe one `/write/` to one service.
 pub fn declarations(version: u64) -> Declarations {
-    let rule = |divided| ServiceRule { connections: 100, divided, cold: None };
+    let rule = |divided| ServiceRule { connections: 100, sharded: divided, cold: None };
     let services =
         BTreeMap::from([("plain".to_owned(), rule(false)), ("keyed".to_owned(), rule(true))]);
     let routes = vec![
--- a/crates/nickellead_gateway/tests/common/store.rs
+++ b/crates/nickellead_gateway/tests/common/store.rs
@@ -273,7 +273,7 @@
         let mut state = self.state();
         state.calls += 1;
         if state.is_away_from(&self.vm) {
-            return Err(StoreError::Silent("away".to_owned()));
+            return Err(StoreError::NoResponse("away".to_owned()));
         }
         self.tell_era(&state);
         Ok(read(&mut state))
@@ -298,12 +298,12 @@
             {
                 let state = self.state();
                 if state.is_away_from(&self.vm) {
-                    return Err(StoreError::Silent("away".to_owned()));
+                    return Err(StoreError::NoResponse("away".to_owned()));
                 }
                 let told = self.tell_era(&state);
                 let unknown = from.number > state.content.revision || from.era < told;
                 if unknown || state.forgets {
-                    return Err(StoreError::Forgotten);
+                    return Err(StoreError::Compacted);
                 }
                 if state.content.revision > from.number
                     && !state.deaf_watches
@@ -341,7 +341,7 @@
         StoreEra(self.era.load(Ordering::Relaxed))
     }
 
-    fn odd_eras(&self) -> u64 {
+    fn invalid_eras(&self) -> u64 {
         0
     }
 
@@ -447,7 +447,7 @@
         })?
     }
 
-    async fn mandate_maybe_old(&self) -> Result<Option<Stored<MandateRecord>>, StoreError> {
+    async fn mandate_cached(&self) -> Result<Option<Stored<MandateRecord>>, StoreError> {
         self.mandate().await
     }
 
--- a/crates/nickellead_gateway/tests/declared_changes.rs
+++ b/crates/nickellead_gateway/tests/declared_changes.rs
@@ -32,7 +32,7 @@
         });
         let routes = routes.map(SharedRoute::from).collect();
         let rule =
-            ServiceRule { connections: u32::arbitrary(random) % 2, divided: false, cold: None };
+            ServiceRule { connections: u32::arbitrary(random) % 2, sharded: false, cold: None };
         let services = [("plain".to_owned(), rule)].into();
         let header_bytes = usize::from(bool::arbitrary(random));
         let limits = CallerLimits { header_bytes, ..CallerLimits::default() };
@@ -93,7 +93,7 @@
             let news: DeclaredUpdate = decode(&encode(&news).unwrap()).unwrap();
             let applied = news.apply(Some(known)).unwrap();
             let mut follower = DeclarationsHistory::default();
-            follower.follow(&applied);
+            follower.apply_update(&applied);
             applied.state == newest.0.state()
                 && ordered(&applied.declarations) == ordered(&newest.0)
                 && DeclaredUpdate::Steps(follower.since(known.state()).unwrap()) == news
@@ -121,7 +121,7 @@
     wrong.set[1].attempts += 1;
     assert!(matches!(wrong.apply(&old), Err(ChangeError::WrongResult { .. })));
     let news = DeclaredUpdate::Steps(vec![step(&old, &new).packed]);
-    assert!(matches!(news.apply(None), Err(UpdateError::NothingKnown)));
+    assert!(matches!(news.apply(None), Err(UpdateError::NoBase)));
     assert!(matches!(news.apply(Some(&new)), Err(UpdateError::Change(_))));
 }
 
@@ -184,9 +184,9 @@
     let (old, new) = (many(1, 3), many(2, 30));
     let mut history = DeclarationsHistory::default();
     history.push(step(&old, &new));
-    let applied = DeclaredUpdate::Whole(Packed::pack(&old).unwrap()).apply(Some(&new)).unwrap();
+    let applied = DeclaredUpdate::Full(Packed::pack(&old).unwrap()).apply(Some(&new)).unwrap();
     assert_eq!(applied.declarations, old);
-    history.follow(&applied);
+    history.apply_update(&applied);
     assert_eq!(history.since(new.state()), None);
     assert_eq!(history.since(old.state()), Some(Vec::new()));
 }
@@ -198,7 +198,7 @@
     let (plain, packed) = (encode(&change).unwrap().len(), Packed::pack(&change).unwrap().len());
     assert!(packed * 100 < plain * 45, "{packed} of {plain} bytes");
     let mut weighed = Declarations { version: 3, ..new.clone() };
-    weighed.routes[700].parts[0].weight = 0.25;
+    weighed.routes[700].split[0].weight = 0.25;
     assert!(step(&new, &weighed).packed.len() < 400);
 }
 
@@ -233,7 +233,7 @@
         let (_, state) = timed(|| new.state());
         eprintln!("  between {between} us, apply {apply} us, state {state} us");
         let mut weighed = Declarations { version: 3, ..new.clone() };
-        weighed.routes[700].parts[0].weight = 0.25;
+        weighed.routes[700].split[0].weight = 0.25;
         let change = DeclarationsChange::between(&new, &weighed).unwrap();
         print_packing("  one weight", &change);
         let (_, apply) = timed(|| change.apply(&new).unwrap());
--- a/crates/nickellead_gateway/tests/evacuated_zones.rs
+++ b/crates/nickellead_gateway/tests/evacuated_zones.rs
@@ -122,7 +122,7 @@
     store.list(in_zone(&near, "plain", "zone-a"));
     store.list(in_zone(&far, "plain", "zone-b"));
     let mut declared = declarations(1);
-    let rule = ColdRule { length: Duration::from_secs(3), rate: 6.0 };
+    let rule = ColdRule { duration: Duration::from_secs(3), rate: 6.0 };
     declared.services.values_mut().for_each(|service| service.cold = Some(rule));
     store.declare(declared);
     let gateway = start("vm-evac-cold", &store);
--- a/crates/nickellead_gateway/tests/requests.rs
+++ b/crates/nickellead_gateway/tests/requests.rs
@@ -143,7 +143,7 @@
     let mut split = declarations(3);
     let part = |service: &str, weight| WeightedService { service: service.to_owned(), weight };
     split.services.insert("second".to_owned(), split.services["plain"].clone());
-    split.routes[0].parts = vec![part("plain", 90.0), part("second", 10.0)];
+    split.routes[0].split = vec![part("plain", 90.0), part("second", 10.0)];
     store.list(entry("t2", "second", other.address));
     store.declare(split);
     wait_until("the split is in force", || gateway.ask("GET", "/read/", "").ends_with("t2"));
--- a/crates/nickellead_gateway/tests/slow_links.rs
+++ b/crates/nickellead_gateway/tests/slow_links.rs
@@ -168,7 +168,7 @@
 
     /// The same routes with another weight on one of them.
     fn reweighted(version: u64, routes: &mut [RouteRule]) -> Declarations {
-        routes[0].parts[0].weight += 1.0;
+        routes[0].split[0].weight += 1.0;
         declared(version, routes)
     }
 
