--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -14,8 +14,8 @@
 use super::loads::RECENT_LENGTH;
 use super::ranges::BALANCE_PERIOD;
 use crate::admission::{AdmissionRange, AdmissionTable};
-use crate::fleet::{HolderStamp, MandateTerm};
-use crate::load_count::{AnswerCounts, VmMark};
+use crate::fleet::{AnnouncementStamp, MandateTerm};
+use crate::load_counter::{ResponseCounts, VmId};
 use crate::{OrderPort, StorePort};
 
 /// Weight of one answer in what is known of a target's speed, as a part of the weight that a VM gives
@@ -48,7 +48,7 @@
     /// Latency target of its requests, in milliseconds; 0 before the first answer.
     goal_ms: f64,
     /// What it did since the last look.
-    counts: AnswerCounts,
+    counts: ResponseCounts,
     admission: OwnerAdmission,
     /// Until when the pauses that it asked for count.
     paused_until: Timestamp,
@@ -60,7 +60,7 @@
             born: None,
             unhurried: BaselineLatency::with_weight_factor(ANSWER_WEIGHT),
             goal_ms: 0.0,
-            counts: AnswerCounts::default(),
+            counts: ResponseCounts::default(),
             admission: OwnerAdmission::default(),
             paused_until: Timestamp::ZERO,
         }
@@ -68,24 +68,24 @@
 }
 
 impl TargetFigures {
-    fn note(&mut self, counts: AnswerCounts, now: Timestamp) {
+    fn note(&mut self, counts: ResponseCounts, now: Timestamp) {
         self.counts = counts;
-        if counts.pause_ms > 0 {
-            let pause = Duration::from_millis(counts.pause_ms.into());
+        if counts.max_pause_ms > 0 {
+            let pause = Duration::from_millis(counts.max_pause_ms.into());
             self.paused_until = self.paused_until.max(now + pause * RETURN_PAUSES);
         }
-        if counts.answered == 0 {
+        if counts.responses == 0 {
             return;
         }
-        let mean = counts.total_ms / f64::from(counts.answered);
-        (0..counts.answered.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.record(mean));
-        self.goal_ms = counts.total_ms / counts.goal_parts.max(f64::EPSILON);
+        let mean = counts.total_ms / f64::from(counts.responses);
+        (0..counts.responses.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.record(mean));
+        self.goal_ms = counts.total_ms / counts.latency_target_ratios.max(f64::EPSILON);
     }
 
     /// Whether it asked for pauses and serves nobody now: one that serves others is overrun, and moves by load
     /// relieve it.
     pub(super) fn is_paused(&self, now: Timestamp) -> bool {
-        now < self.paused_until && self.counts.answered == 0
+        now < self.paused_until && self.counts.responses == 0
     }
 
     /// The report of the last period, for an owner with these slots and this demand a second.
@@ -93,8 +93,8 @@
         let millis = self.unhurried.millis();
         let known = self.unhurried.samples() > 0 && millis > 0.0;
         OwnerReport {
-            responses: self.counts.answered,
-            latency_ratio_sum: self.counts.goal_parts,
+            responses: self.counts.responses,
+            latency_ratio_sum: self.counts.latency_target_ratios,
             demand,
             baseline_rate: known.then(|| f64::from(slots) * 1_000.0 / millis),
             baseline_latency_ratio: if known {
@@ -108,7 +108,7 @@
 
 impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
     /// Takes in what became of requests since the last look.
-    pub(super) fn note_answers(&self, mut answers: HashMap<String, AnswerCounts>) {
+    pub(super) fn note_answers(&self, mut answers: HashMap<String, ResponseCounts>) {
         let listed = self.book.targets();
         let now = BootClock.now();
         let mut figures = self.figures.borrow_mut();
@@ -127,7 +127,7 @@
     }
 
     /// Takes in which VMs reported load.
-    pub(super) fn note_reporters(&self, vms: BTreeSet<VmMark>) {
+    pub(super) fn note_reporters(&self, vms: BTreeSet<VmId>) {
         let now = BootClock.now();
         let mut reporters = self.reporters.borrow_mut();
         reporters.extend(vms.into_iter().map(|vm| (vm, now)));
@@ -158,7 +158,7 @@
         }
         let word = self.admission_word.get() + 1;
         self.admission_word.set(word);
-        let stamp = HolderStamp { term, word };
+        let stamp = AnnouncementStamp { term, sequence: word };
         self.book.note_admissions(AdmissionTable { stamp, services, limits });
     }
 
@@ -187,7 +187,7 @@
         let owners = owned.into_iter();
         let limited = owners.flat_map(|(owner, ranges)| self.limit_owner(owner, &ranges, load));
         let mut limited: Vec<AdmissionRange> = limited.collect();
-        limited.sort_by(|a, b| a.least_share().total_cmp(&b.least_share()));
+        limited.sort_by(|a, b| a.min_fraction().total_cmp(&b.min_fraction()));
         limited.truncate(RANGES_TOLD);
         limited.sort_by_key(|range| range.first);
         limited
@@ -232,10 +232,10 @@
     let ranges = ranges.iter().map(|range| AdmissionRange {
         first: range.first,
         last: range.last,
-        share: shares.light as f32,
+        fraction: shares.light as f32,
         hot: hot_of(range),
     });
-    ranges.filter(|range| range.least_share() < 1.0).collect()
+    ranges.filter(|range| range.min_fraction() < 1.0).collect()
 }
 
 fn log_limit(owner: &str, rate: Option<f64>, demand: f64, figures: &TargetFigures) {
@@ -246,7 +246,7 @@
         ("target", &owner),
         ("rate", &rate),
         ("demand", &demand),
-        ("answered", &figures.counts.answered),
+        ("answered", &figures.counts.responses),
         ("lost", &figures.counts.lost),
         ("unhurried_ms", &unhurried),
     ];
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -10,8 +10,8 @@
 
 use super::ControlDuty;
 use super::loads::LOAD_LENGTH;
-use crate::admission::LifeLimit;
-use crate::load_count::LimitCounts;
+use crate::admission::InstanceLimit;
+use crate::load_counter::LimitCounts;
 use crate::{OrderPort, StorePort};
 
 /// A limit is over when answers have named none for this long: by then all reports of answers that named it have
@@ -42,7 +42,7 @@
 impl HeardLimit {
     /// Takes in what answers said since the last look.
     fn note(&mut self, counts: LimitCounts, now: Timestamp) {
-        if let Some(rate) = counts.least {
+        if let Some(rate) = counts.min_limit {
             (self.rate, self.heard, self.over) = (rate, now, None);
         } else if self.over.is_none() && now.since(self.heard) >= LIMIT_SETTLES {
             self.over = Some(now);
@@ -73,7 +73,7 @@
         let now = BootClock.now();
         let mut limits = self.limits.borrow_mut();
         for (life, new) in counts {
-            match (limits.get_mut(&life), new.least) {
+            match (limits.get_mut(&life), new.min_limit) {
                 (Some(known), _) => known.note(new, now),
                 (None, Some(rate)) => {
                     limits.insert(life, HeardLimit { rate, heard: now, over: None, ends: 0 });
@@ -85,11 +85,11 @@
     }
 
     /// The limits that targets name, to be told.
-    pub(super) fn named_limits(&self) -> BTreeMap<String, LifeLimit> {
+    pub(super) fn named_limits(&self) -> BTreeMap<String, InstanceLimit> {
         let limits = self.limits.borrow();
         let named = limits.iter().filter(|(_, limit)| limit.over.is_none());
         let told = named.map(|(life, limit)| {
-            (life.id.clone(), LifeLimit { born: life.born, rate: limit.rate })
+            (life.id.clone(), InstanceLimit { born: life.born, rate: limit.rate })
         });
         told.collect()
     }
--- a/crates/nickellead_gateway/src/fleet.rs
+++ b/crates/nickellead_gateway/src/fleet.rs
@@ -5,16 +5,16 @@
 use bincode::{Decode, Encode};
 use nickellead_limit::is_cold_sender;
 
-use crate::load_count::VmMark;
+use crate::load_counter::VmId;
 use crate::{MandateRecord, StoreEra, Stored};
 
 /// Which word is newer: first by when its holder took the mandate, in which era of the store, then by the
 /// holder's own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub(crate) struct HolderStamp {
+pub(crate) struct AnnouncementStamp {
     pub(crate) term: MandateTerm,
     /// Number of the holder's word.
-    pub(crate) word: u64,
+    pub(crate) sequence: u64,
 }
 
 /// One term of a mandate, as its holder's words go on in one era of the store.
@@ -36,13 +36,13 @@
 /// The VMs that take requests.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) struct FleetTable {
-    pub(crate) stamp: HolderStamp,
-    pub(crate) vms: BTreeSet<VmMark>,
+    pub(crate) stamp: AnnouncementStamp,
+    pub(crate) vms: BTreeSet<VmId>,
 }
 
 impl FleetTable {
     /// How many VMs there are, this one included; 0 while none are known.
-    pub(crate) fn sharers(&self, vm: VmMark) -> usize {
+    pub(crate) fn count_including(&self, vm: VmId) -> usize {
         match self.vms.len() {
             0 => 0,
             known => known + usize::from(!self.vms.contains(&vm)),
@@ -51,13 +51,13 @@
 
     /// Place of a VM among those of its availability zone, and how many these are; `None` for a VM that
     /// the fleet does not name.
-    pub(crate) fn place_in_zone(&self, vm: VmMark) -> Option<(usize, usize)> {
-        let near = self.vms.iter().filter(|one| one.is_beside(vm));
+    pub(crate) fn index_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
+        let near = self.vms.iter().filter(|one| one.shares_zone_with(vm));
         place_among(vm, near)
     }
 
     /// The same among all VMs.
-    pub(crate) fn place(&self, vm: VmMark) -> Option<(usize, usize)> {
+    pub(crate) fn index(&self, vm: VmId) -> Option<(usize, usize)> {
         place_among(vm, self.vms.iter())
     }
 
@@ -66,22 +66,22 @@
     /// They are the VMs of the zone whose hashes with the target are highest, or of all zones if the zone
     /// has none: VMs that know the same fleet agree without asking each other, also while they are cut
     /// off, and a VM that comes or goes changes few of them.
-    pub(crate) fn is_sender(&self, vm: VmMark, target: &str, zone: &str) -> bool {
+    pub(crate) fn sends_to_cold(&self, vm: VmId, target: &str, zone: &str) -> bool {
         if !self.vms.contains(&vm) {
             return false;
         }
-        let has_near = self.vms.iter().any(|one| one.is_of(zone));
-        if has_near && !vm.is_of(zone) {
+        let has_near = self.vms.iter().any(|one| one.is_in_zone(zone));
+        if has_near && !vm.is_in_zone(zone) {
             return false;
         }
-        let rivals = self.vms.iter().filter(|one| !has_near || one.is_of(zone));
+        let rivals = self.vms.iter().filter(|one| !has_near || one.is_in_zone(zone));
         is_cold_sender(vm.rank(target), rivals.map(|one| one.rank(target)))
     }
 }
 
 fn place_among<'a>(
-    vm: VmMark,
-    all: impl Iterator<Item = &'a VmMark> + Clone,
+    vm: VmId,
+    all: impl Iterator<Item = &'a VmId> + Clone,
 ) -> Option<(usize, usize)> {
     let place = all.clone().position(|one| *one == vm)?;
     Some((place, all.count()))
--- a/crates/nickellead_gateway/src/store_era.rs
+++ b/crates/nickellead_gateway/src/store_era.rs
@@ -14,23 +14,23 @@
 
 /// What was odd about an answer's word of the era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OddEra {
+enum InvalidEra {
     /// There is none, and there was one before.
     Missing,
     /// It is no whole number.
     Unreadable,
     /// It is lower than one that was known before the call was made.
-    Fallen,
+    Decreased,
     /// It rose by more than one.
     Jumped,
 }
 
-impl OddEra {
+impl InvalidEra {
     const fn as_str(self) -> &'static str {
         match self {
             Self::Missing => "missing",
             Self::Unreadable => "unreadable",
-            Self::Fallen => "fallen",
+            Self::Decreased => "fallen",
             Self::Jumped => "jumped",
         }
     }
@@ -38,16 +38,16 @@
 
 /// The newest era of the store, as one VM's answers tell it.
 #[derive(Debug, Default)]
-pub struct EraWatch {
+pub struct EraMonitor {
     era: Cell<StoreEra>,
     /// When the era last rose; `None` before a second one was told.
-    risen: Cell<Option<Instant>>,
+    increased_at: Cell<Option<Instant>>,
     /// Whether any answer told an era.
-    is_told: Cell<bool>,
-    odd: Cell<u64>,
+    is_known: Cell<bool>,
+    invalid_count: Cell<u64>,
 }
 
-impl EraWatch {
+impl EraMonitor {
     /// The newest era; 0 before one is told.
     #[must_use]
     pub fn era(&self) -> StoreEra {
@@ -56,52 +56,52 @@
 
     /// Answers whose word of the era was odd.
     #[must_use]
-    pub fn odd(&self) -> u64 {
-        self.odd.get()
+    pub fn invalid_count(&self) -> u64 {
+        self.invalid_count.get()
     }
 
     /// Whether the era rose less than this time ago.
     #[must_use]
-    pub fn rose_within(&self, time: Duration) -> bool {
-        self.risen.get().is_some_and(|risen| risen.elapsed() < time)
+    pub fn increased_within(&self, time: Duration) -> bool {
+        self.increased_at.get().is_some_and(|risen| risen.elapsed() < time)
     }
 
     /// Takes in the word of an answer to a call that was made in the era `sent_in`, as far as was known
     /// then; gives the era of what the answer says.
-    pub fn note(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
+    pub fn observe(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
         let Some(word) = word else {
-            if self.is_told.get() {
-                self.count(OddEra::Missing, sent_in);
+            if self.is_known.get() {
+                self.count(InvalidEra::Missing, sent_in);
             }
             return sent_in;
         };
         let Some(told) = read_era(word) else {
-            self.count(OddEra::Unreadable, sent_in);
+            self.count(InvalidEra::Unreadable, sent_in);
             return sent_in;
         };
         let known = self.era.get();
         if told < sent_in {
-            self.count(OddEra::Fallen, told);
+            self.count(InvalidEra::Decreased, told);
             return sent_in;
         }
         if told <= known {
             return told;
         }
-        if self.is_told.replace(true) {
+        if self.is_known.replace(true) {
             if told.0 - known.0 > 1 {
-                self.count(OddEra::Jumped, told);
+                self.count(InvalidEra::Jumped, told);
             }
             if told.0 - known.0 > RISE_MOST {
                 return sent_in;
             }
-            self.risen.set(Some(Instant::now()));
+            self.increased_at.set(Some(Instant::now()));
         }
         self.era.set(told);
         told
     }
 
-    fn count(&self, odd: OddEra, told: StoreEra) {
-        self.odd.set(self.odd.get() + 1);
+    fn count(&self, odd: InvalidEra, told: StoreEra) {
+        self.invalid_count.set(self.invalid_count.get() + 1);
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
             [("reason", &odd.as_str()), ("told", &told), ("known", &self.era.get())];
         log_event(EventName::EraOdd, &pairs);
--- a/crates/nickellead_gateway/src/roster.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -18,8 +18,8 @@
 use crate::connections::SharedPool;
 use crate::evacuation::ZoneStates;
 use crate::fleet::FleetTable;
-use crate::load_count::VmMark;
-use crate::targets::life_of;
+use crate::load_counter::VmId;
+use crate::targets::instance_of;
 use crate::{ColdRule, ColdSettings, ServiceRule, TargetEntry, TargetList, TargetState};
 
 /// What an unknown target is taken to need for an answer, until it has shown it.
@@ -55,10 +55,10 @@
 const FALLEN_MOST: usize = 3;
 
 /// Kept by all who ask one life of a target, and beyond the time that it is listed.
-pub(crate) type SharedSigns = Rc<Cell<TargetSignals>>;
+pub(crate) type SharedSignals = Rc<Cell<TargetSignals>>;
 
 /// One target with what this VM has learned of it.
-pub(crate) struct TargetMember {
+pub(crate) struct RegisteredTarget {
     pub(crate) id: String,
     pub(crate) born: Option<u64>,
     pub(crate) address: SocketAddr,
@@ -66,32 +66,32 @@
     pub(crate) slots: u32,
     pub(crate) state: Cell<TargetState>,
     /// What its entry last said of how much longer it is cold.
-    told_cold: Cell<Duration>,
+    listed_cold: Cell<Duration>,
     /// What its targets bear while they are cold.
     cold_rule: Cell<Option<ColdRule>>,
-    pub(crate) cold: ColdLimiter,
+    pub(crate) cold_limiter: ColdLimiter,
     /// Whether it owns keys.
-    divided: Cell<bool>,
+    sharded: Cell<bool>,
     /// Until when it is left out because it refused a connection.
     down_until: Cell<Timestamp>,
     /// What it told this VM of itself.
-    pub(crate) signs: SharedSigns,
+    pub(crate) signals: SharedSignals,
     /// What the mandate's holder told of its limit.
-    told_limit: Cell<ReportedLimit>,
+    reported_limit: Cell<ReportedLimit>,
     /// This VM's part of its limit.
-    rate: RateLimiter,
+    rate_limiter: RateLimiter,
     /// VMs that share its limit, this one included; 0 while they are not known.
-    sharers: Cell<usize>,
+    sharing_vms: Cell<usize>,
     pub(crate) score: RefCell<TargetScore>,
-    pub(crate) limit: Cell<AdaptiveLimit>,
+    pub(crate) concurrency_limit: Cell<AdaptiveLimit>,
     /// Requests that wait for this very target.
-    pub(crate) turns: WaitQueue,
+    pub(crate) wait_queue: WaitQueue,
     pub(crate) pool: SharedPool,
 }
 
 /// Members by what they told this VM of themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct SignCounts {
+pub(crate) struct SignalCounts {
     /// They leave.
     pub(crate) leaving: i64,
     /// They want nothing now.
@@ -103,58 +103,60 @@
 /// Requests under way at a member, counted also when their future is dropped.
 ///
 /// Its end wakes a request that waits for the target, and one that waits for any of the service.
-pub(crate) struct RunningGuard(Rc<TargetMember>, Rc<WaitQueue>);
+pub(crate) struct InFlightGuard(Rc<RegisteredTarget>, Rc<WaitQueue>);
 
-impl TargetMember {
+impl RegisteredTarget {
     /// Whether one more request may be sent now.
-    pub(crate) fn has_room(&self) -> bool {
-        self.limit.get().has_capacity(self.score.borrow().in_flight)
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.concurrency_limit.get().has_capacity(self.score.borrow().in_flight)
     }
 
     /// Whether a request may be sent now, by what the target bears and told of itself; `stay` as in
     /// [`TargetSignals::may_send`].
     pub(crate) fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
-        self.signs.get().may_send(stay, now) && self.cold.may_send(now) && self.has_turn(now)
+        self.signals.get().may_send(stay, now)
+            && self.cold_limiter.may_send(now)
+            && self.rate_allows(now)
     }
 
     /// Whether its limit has room for one more request of this VM.
-    pub(crate) fn has_turn(&self, now: Timestamp) -> bool {
-        let limit = self.signs.get().effective_limit(self.told_limit.get(), now);
-        self.rate.set_limit(limit, self.sharers.get(), now);
-        self.rate.may_send(now)
+    pub(crate) fn rate_allows(&self, now: Timestamp) -> bool {
+        let limit = self.signals.get().effective_limit(self.reported_limit.get(), now);
+        self.rate_limiter.set_limit(limit, self.sharing_vms.get(), now);
+        self.rate_limiter.may_send(now)
     }
 
     /// Whether this VM or the mandate's holder was told a limit of it that may still count.
     pub(crate) fn may_be_limited(&self) -> bool {
-        let told = matches!(self.told_limit.get(), ReportedLimit::Limited(_));
-        told || self.signs.get().limit().is_some()
+        let told = matches!(self.reported_limit.get(), ReportedLimit::Limited(_));
+        told || self.signals.get().limit().is_some()
     }
 
     /// Counts a request that is sent now, if it may be: asked when its connection is there, as others may
     /// have been sent meanwhile, and the target may have told something.
-    pub(crate) fn take_turn(&self, stay: Duration, now: Timestamp) -> bool {
+    pub(crate) fn try_take_token(&self, stay: Duration, now: Timestamp) -> bool {
         let may_send = self.may_send(stay, now);
         if may_send {
-            self.cold.record_sent(now);
-            self.rate.record_sent(now);
+            self.cold_limiter.record_sent(now);
+            self.rate_limiter.record_sent(now);
         }
         may_send
     }
 
     /// Gives back what a request took that was not sent after all.
-    pub(crate) fn give_turn_back(&self, now: Timestamp) {
-        self.cold.refund(now);
-        self.rate.refund(now);
+    pub(crate) fn return_token(&self, now: Timestamp) {
+        self.cold_limiter.refund(now);
+        self.rate_limiter.refund(now);
     }
 
     /// Whether it said that it leaves.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.signs.get().leaving_since().is_some()
+        self.signals.get().leaving_since().is_some()
     }
 
     /// This life of it.
-    pub(crate) fn life(&self) -> TargetInstance {
-        life_of(&self.id, self.born, self.address)
+    pub(crate) fn instance(&self) -> TargetInstance {
+        instance_of(&self.id, self.born, self.address)
     }
 
     /// Whether it refused this VM a connection a moment ago.
@@ -163,103 +165,110 @@
     }
 
     /// Learns that nobody listens at its address.
-    fn note_down(&self, now: Timestamp) {
+    fn mark_down(&self, now: Timestamp) {
         self.down_until.set(now + DOWN_TIME);
     }
 
     /// Reckons with it being cold until then.
     fn expect_cold(&self, until: Timestamp, now: Timestamp) {
-        if self.cold.cold_until() < until {
-            self.cold.set_cold_until(until, now);
+        if self.cold_limiter.cold_until() < until {
+            self.cold_limiter.set_cold_until(until, now);
         }
     }
 
     /// Takes over its entry as it is listed now.
-    fn note_listed(&self, entry: &TargetEntry, now: Timestamp) {
+    fn update_from_entry(&self, entry: &TargetEntry, now: Timestamp) {
         self.state.set(entry.state);
         // An old entry's time does not begin again with each list.
-        if self.told_cold.replace(entry.cold_left) != entry.cold_left {
-            self.cold.set_cold_until(now + entry.cold_left, now);
+        if self.listed_cold.replace(entry.cold_left) != entry.cold_left {
+            self.cold_limiter.set_cold_until(now + entry.cold_left, now);
             self.down_until.set(Timestamp::ZERO);
         }
     }
 
     /// Learns how a try ended.
-    pub(crate) fn note_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
+    pub(crate) fn record_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
         self.score.borrow_mut().record(outcome, now);
     }
 
     /// Learns that the target took no more: it refused a request or broke a connection.
-    pub(crate) fn note_refusal(&self) {
-        let mut limit = self.limit.get();
+    pub(crate) fn record_refusal(&self) {
+        let mut limit = self.concurrency_limit.get();
         limit.record_refusal();
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 
     /// Learns that the target answered after `length` while this many requests were under way.
-    pub(crate) fn note_room(&self, running: u32, length: Duration, goal: Duration, now: Timestamp) {
+    pub(crate) fn record_latency(
+        &self,
+        running: u32,
+        length: Duration,
+        goal: Duration,
+        now: Timestamp,
+    ) {
         let unhurried = Duration::from_secs_f64(self.score.borrow().baseline_ms() / 1_000.0);
-        let mut limit = self.limit.get();
+        let mut limit = self.concurrency_limit.get();
         limit.record_response(running, length, unhurried, goal, now);
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 
     /// Learns that a request has been under way for a whole latency target.
-    pub(crate) fn note_overdue(&self, goal: Duration, now: Timestamp) {
-        let mut limit = self.limit.get();
+    pub(crate) fn record_overdue(&self, goal: Duration, now: Timestamp) {
+        let mut limit = self.concurrency_limit.get();
         limit.record_overdue(goal, now);
-        self.limit.set(limit);
+        self.concurrency_limit.set(limit);
     }
 }
 
-impl RunningGuard {
-    pub(crate) fn new(member: &Rc<TargetMember>, service: &Rc<WaitQueue>) -> Self {
+impl InFlightGuard {
+    pub(crate) fn new(member: &Rc<RegisteredTarget>, service: &Rc<WaitQueue>) -> Self {
         member.score.borrow_mut().in_flight += 1;
         Self(Rc::clone(member), Rc::clone(service))
     }
 }
 
-impl Drop for RunningGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         {
             let mut score = self.0.score.borrow_mut();
             score.in_flight = score.in_flight.saturating_sub(1);
         }
-        self.0.turns.wake_one();
+        self.0.wait_queue.wake_one();
         self.1.wake_one();
     }
 }
 
 /// What decides which targets get requests, beside their entries.
-pub(crate) struct RosterRules<'a> {
+pub(crate) struct RegistryRules<'a> {
     pub(crate) services: &'a BTreeMap<String, ServiceRule>,
-    pub(crate) bounds: Option<ColdSettings>,
+    pub(crate) cold_settings: Option<ColdSettings>,
     pub(crate) fleet: &'a FleetTable,
     pub(crate) zones: &'a ZoneStates,
 }
 
-impl RosterRules<'_> {
+impl RegistryRules<'_> {
     /// What the targets of a service bear while they are cold, if that is bounded.
     fn cold_rule(&self, service: &str) -> Option<ColdRule> {
-        self.bounds.and(self.services.get(service)?.cold)
+        self.cold_settings.and(self.services.get(service)?.cold)
     }
 
     /// Whether each key of a service has one owner.
-    fn is_divided(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|rule| rule.divided)
+    fn is_sharded(&self, service: &str) -> bool {
+        self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 
     /// This VM's share of what a target bears while it is cold.
-    fn cold_share(&self, vm: VmMark, entry: &TargetEntry) -> ColdQuota {
-        let (Some(bounds), Some(rule)) = (self.bounds, self.cold_rule(&entry.service)) else {
+    fn cold_share(&self, vm: VmId, entry: &TargetEntry) -> ColdQuota {
+        let (Some(bounds), Some(rule)) = (self.cold_settings, self.cold_rule(&entry.service))
+        else {
             return ColdQuota::Unlimited;
         };
         let most = rule.rate * bounds.overage + bounds.slack;
         let bound = ColdBounds { rate: rule.rate, max_in_one_second: most };
-        if self.is_divided(&entry.service) {
+        if self.is_sharded(&entry.service) {
             return ColdQuota::equal_share(bound, self.fleet.vms.len());
         }
-        match self.fleet.is_sender(vm, &entry.id, &entry.zone) {
+        match self.fleet.sends_to_cold(vm, &entry.id, &entry.zone) {
             true => ColdQuota::for_sender(bound),
             false => ColdQuota::Zero,
         }
@@ -268,41 +277,41 @@
 
 /// All members by service and by identity.
 #[derive(Default)]
-pub(crate) struct TargetRoster {
+pub(crate) struct TargetRegistry {
     vm: String,
     zone: String,
-    by_id: HashMap<String, Rc<TargetMember>>,
-    by_service: HashMap<String, Vec<Rc<TargetMember>>>,
+    by_id: HashMap<String, Rc<RegisteredTarget>>,
+    by_service: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// What lives told of themselves that are not listed now: they may be listed once more.
-    unlisted_signs: HashMap<TargetInstance, SharedSigns>,
+    unlisted_signals: HashMap<TargetInstance, SharedSignals>,
     /// This VM's part of each service.
-    subsets: HashMap<String, Vec<Rc<TargetMember>>>,
+    subsets: HashMap<String, Vec<Rc<RegisteredTarget>>>,
     /// Services of which this VM's part is smaller than it would be on a small fleet.
-    shared_out: HashSet<String>,
+    partitioned: HashSet<String>,
 }
 
-impl TargetRoster {
+impl TargetRegistry {
     /// A roster without members.
     pub(crate) fn new(vm: String, zone: String) -> Self {
         Self { vm, zone, ..Self::default() }
     }
 
     /// The roster of a new list; members that stay keep what was learned.
-    pub(crate) fn rebuild(&self, list: &TargetList, rules: &RosterRules<'_>) -> Self {
+    pub(crate) fn rebuild(&self, list: &TargetList, rules: &RegistryRules<'_>) -> Self {
         let now = BootClock.now();
-        let mark = VmMark::of(&self.vm, &self.zone);
-        let sharers = rules.fleet.sharers(mark);
+        let mark = VmId::new(&self.vm, &self.zone);
+        let sharers = rules.fleet.count_including(mark);
         let mut roster = Self::new(self.vm.clone(), self.zone.clone());
         for entry in list.values() {
-            let member = self.member_of(entry, now);
+            let member = self.target_for_entry(entry, now);
             member.cold_rule.set(rules.cold_rule(&entry.service));
-            member.divided.set(rules.is_divided(&entry.service));
-            member.cold.set_quota(rules.cold_share(mark, entry), now);
-            member.sharers.set(sharers);
+            member.sharded.set(rules.is_sharded(&entry.service));
+            member.cold_limiter.set_quota(rules.cold_share(mark, entry), now);
+            member.sharing_vms.set(sharers);
             if let (Some(rule), Some(returned)) =
-                (member.cold_rule.get(), rules.zones.returned(&entry.zone))
+                (member.cold_rule.get(), rules.zones.returned_at(&entry.zone))
             {
-                member.expect_cold(returned + rule.length, now);
+                member.expect_cold(returned + rule.duration, now);
             }
             roster.by_id.insert(entry.id.clone(), Rc::clone(&member));
             if rules.zones.is_evacuated(&entry.zone) {
@@ -316,35 +325,35 @@
             let near = members.iter().filter(|member| member.zone == roster.zone).count();
             let usual = near.min(NEAR_MEMBERS) + (members.len() - near).min(FAR_MEMBERS);
             if subset.len() < usual {
-                roster.shared_out.insert(service.clone());
+                roster.partitioned.insert(service.clone());
             }
             roster.subsets.insert(service.clone(), subset);
         }
-        roster.unlisted_signs = self.unlisted_signs.clone();
+        roster.unlisted_signals = self.unlisted_signals.clone();
         for (id, member) in &self.by_id {
             if !roster.by_id.get(id).is_some_and(|kept| Rc::ptr_eq(kept, member)) {
                 member.pool.clear();
-                roster.unlisted_signs.insert(member.life(), Rc::clone(&member.signs));
+                roster.unlisted_signals.insert(member.instance(), Rc::clone(&member.signals));
             }
         }
-        roster.unlisted_signs.retain(|_, signs| signs.get().has_active_signal(now));
-        if roster.unlisted_signs.len() > UNLISTED_MOST {
-            roster.unlisted_signs.clear();
+        roster.unlisted_signals.retain(|_, signs| signs.get().has_active_signal(now));
+        if roster.unlisted_signals.len() > UNLISTED_MOST {
+            roster.unlisted_signals.clear();
         }
         roster
     }
 
     /// The member of an entry; another life of a target is another member.
-    fn member_of(&self, entry: &TargetEntry, now: Timestamp) -> Rc<TargetMember> {
-        let rank = VmMark::of(&self.vm, &self.zone).rank(&entry.id);
+    fn target_for_entry(&self, entry: &TargetEntry, now: Timestamp) -> Rc<RegisteredTarget> {
+        let rank = VmId::new(&self.vm, &self.zone).rank(&entry.id);
         let known = self.by_id.get(&entry.id);
         match known.filter(|one| one.address == entry.address && one.born == entry.born) {
             Some(member) => {
-                member.note_listed(entry, now);
+                member.update_from_entry(entry, now);
                 Rc::clone(member)
             }
             None => {
-                let signs = self.unlisted_signs.get(&entry.holder()).cloned();
+                let signs = self.unlisted_signals.get(&entry.instance()).cloned();
                 Rc::new(new_member(entry, signs.unwrap_or_default(), rank, now))
             }
         }
@@ -353,7 +362,7 @@
     /// When the next target that is bounded while it is cold gets warm.
     pub(crate) fn next_warm(&self, now: Timestamp) -> Option<Timestamp> {
         let cold = self.by_id.values().filter(|member| member.cold_rule.get().is_some());
-        cold.map(|member| member.cold.cold_until()).filter(|until| *until > now).min()
+        cold.map(|member| member.cold_limiter.cold_until()).filter(|until| *until > now).min()
     }
 
     /// Whether no target at all is known.
@@ -362,30 +371,30 @@
     }
 
     /// The members of a service that take requests.
-    pub(crate) fn members(&self, service: &str) -> &[Rc<TargetMember>] {
+    pub(crate) fn available(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// This VM's part of a service's members.
-    pub(crate) fn subset(&self, service: &str) -> &[Rc<TargetMember>] {
+    pub(crate) fn subset(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.subsets.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Whether VMs are so many for a service that its targets are shared out among them: then a VM whose
     /// part is full does not go to the others' targets, which would be full as well.
-    pub(crate) fn shares_out(&self, service: &str) -> bool {
-        self.shared_out.contains(service)
+    pub(crate) fn is_partitioned(&self, service: &str) -> bool {
+        self.partitioned.contains(service)
     }
 
     /// Takes over what the mandate's holder tells of limits.
-    pub(crate) fn note_told_limits(&self, table: &AdmissionTable) {
+    pub(crate) fn set_reported_limits(&self, table: &AdmissionTable) {
         for (id, member) in &self.by_id {
-            member.told_limit.set(table.limit(id, member.born));
+            member.reported_limit.set(table.reported_limit(id, member.born));
         }
     }
 
     /// The member that is this holder of keys, if it takes requests.
-    pub(crate) fn find(&self, holder: &TargetInstance) -> Option<&Rc<TargetMember>> {
+    pub(crate) fn find_instance(&self, holder: &TargetInstance) -> Option<&Rc<RegisteredTarget>> {
         let member = self.by_id.get(&holder.id)?;
         let same = member.born == holder.born;
         (same && member.state.get() == TargetState::Ready).then_some(member)
@@ -396,19 +405,19 @@
     /// Its entry tells so, but not while it is cut off from the store. Several in one zone at once are
     /// rather cut off from this VM, and then to reckon with cold ones would leave the zone unused after
     /// the cut. An owner of keys that starts again holds none until its entry is known.
-    pub(crate) fn note_down(&self, member: &TargetMember, now: Timestamp) {
-        member.note_down(now);
-        let Some(rule) = member.cold_rule.get().filter(|_| !member.divided.get()) else { return };
+    pub(crate) fn mark_down(&self, member: &RegisteredTarget, now: Timestamp) {
+        member.mark_down(now);
+        let Some(rule) = member.cold_rule.get().filter(|_| !member.sharded.get()) else { return };
         let in_zone = self.by_id.values().filter(|one| one.zone == member.zone);
         if in_zone.filter(|one| one.is_down(now)).count() <= FALLEN_MOST {
-            member.expect_cold(now + DOWN_TIME + rule.length, now);
+            member.expect_cold(now + DOWN_TIME + rule.duration, now);
         }
     }
 
     /// How many members told what still counts.
-    pub(crate) fn count_signs(&self, now: Timestamp) -> SignCounts {
-        let mut counts = SignCounts::default();
-        for signs in self.by_id.values().map(|member| member.signs.get()) {
+    pub(crate) fn count_signals(&self, now: Timestamp) -> SignalCounts {
+        let mut counts = SignalCounts::default();
+        for signs in self.by_id.values().map(|member| member.signals.get()) {
             counts.leaving += i64::from(signs.leaving_since().is_some());
             counts.paused += i64::from(signs.is_paused(now));
             counts.limited += i64::from(signs.limit().is_some());
@@ -424,21 +433,21 @@
 
 /// This VM's part of a service: near and far members, and the cold ones that it helps to warm.
 fn choose_subset(
-    vm: VmMark,
+    vm: VmId,
     zone: &str,
-    members: &[Rc<TargetMember>],
+    members: &[Rc<RegisteredTarget>],
     fleet: &FleetTable,
     now: Timestamp,
-) -> Vec<Rc<TargetMember>> {
-    let is_bounded = |member: &&Rc<TargetMember>| member.cold.is_limited(now);
+) -> Vec<Rc<RegisteredTarget>> {
+    let is_bounded = |member: &&Rc<RegisteredTarget>| member.cold_limiter.is_limited(now);
     let (cold, warm): (Vec<_>, Vec<_>) = members.iter().partition(is_bounded);
-    let warmed = cold.into_iter().filter(|member| member.cold.has_quota());
+    let warmed = cold.into_iter().filter(|member| member.cold_limiter.has_quota());
     let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|member| member.zone == zone);
-    let near_part = match fleet.place_in_zone(vm) {
+    let near_part = match fleet.index_in_zone(vm) {
         Some((place, vms)) => even_members(near, place, vms, NEAR_MEMBERS),
         None => ranked_members(vm, near, NEAR_MEMBERS),
     };
-    let far_part = match fleet.place(vm) {
+    let far_part = match fleet.index(vm) {
         Some((place, vms)) => even_members(far, place, vms, FAR_MEMBERS),
         None => ranked_members(vm, far, FAR_MEMBERS),
     };
@@ -447,11 +456,11 @@
 
 /// An even part of the members for one of `vms` VMs.
 fn even_members(
-    mut members: Vec<&Rc<TargetMember>>,
+    mut members: Vec<&Rc<RegisteredTarget>>,
     place: usize,
     vms: usize,
     most: usize,
-) -> Vec<&Rc<TargetMember>> {
+) -> Vec<&Rc<RegisteredTarget>> {
     members.sort_by_cached_key(|member| xxhash_rust::xxh3::xxh3_64(member.id.as_bytes()));
     let slots = members.iter().map(|member| member.slots).sum();
     let size = subset_size(slots, vms, members.len(), MEMBERS_LEAST, most);
@@ -461,37 +470,42 @@
 /// The members with the highest hash of VM and target: a VM that does not know the fleet takes others than
 /// most VMs do, and a member that comes or goes changes few of them.
 fn ranked_members(
-    vm: VmMark,
-    mut members: Vec<&Rc<TargetMember>>,
+    vm: VmId,
+    mut members: Vec<&Rc<RegisteredTarget>>,
     most: usize,
-) -> Vec<&Rc<TargetMember>> {
+) -> Vec<&Rc<RegisteredTarget>> {
     members.sort_by_cached_key(|member| vm.rank(&member.id));
     members.truncate(most);
     members
 }
 
 /// `rank` is this VM's rank for the target.
-fn new_member(entry: &TargetEntry, signs: SharedSigns, rank: u64, now: Timestamp) -> TargetMember {
+fn new_member(
+    entry: &TargetEntry,
+    signs: SharedSignals,
+    rank: u64,
+    now: Timestamp,
+) -> RegisteredTarget {
     let phase = rank as f64 / u64::MAX as f64;
-    TargetMember {
+    RegisteredTarget {
         id: entry.id.clone(),
         born: entry.born,
         address: entry.address,
         zone: entry.zone.clone(),
         slots: entry.slots,
         state: Cell::new(entry.state),
-        divided: Cell::new(false),
-        told_cold: Cell::new(entry.cold_left),
+        sharded: Cell::new(false),
+        listed_cold: Cell::new(entry.cold_left),
         cold_rule: Cell::new(None),
-        cold: ColdLimiter::new(now + entry.cold_left, phase, now),
+        cold_limiter: ColdLimiter::new(now + entry.cold_left, phase, now),
         down_until: Cell::new(Timestamp::ZERO),
-        signs,
-        told_limit: Cell::default(),
-        rate: RateLimiter::new(rank),
-        sharers: Cell::new(0),
+        signals: signs,
+        reported_limit: Cell::default(),
+        rate_limiter: RateLimiter::new(rank),
+        sharing_vms: Cell::new(0),
         score: RefCell::new(TargetScore::new(USUAL_LATENCY)),
-        limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
-        turns: WaitQueue::default(),
+        concurrency_limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
+        wait_queue: WaitQueue::default(),
         pool: SharedPool::default(),
     }
 }
--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -41,18 +41,18 @@
 impl TargetEntry {
     /// Whether this life of it leaves, though a later entry of it says otherwise: none comes back from that, but
     /// the store may forget it.
-    pub(crate) fn has_left(&self, later: &Self) -> bool {
-        self.state == TargetState::Draining && self.holder() == later.holder()
+    pub(crate) fn left_before(&self, later: &Self) -> bool {
+        self.state == TargetState::Draining && self.instance() == later.instance()
     }
 
     /// This life of it, as an owner of keys.
-    pub(crate) fn holder(&self) -> TargetInstance {
-        life_of(&self.id, self.born, self.address)
+    pub(crate) fn instance(&self) -> TargetInstance {
+        instance_of(&self.id, self.born, self.address)
     }
 }
 
 /// A life of a target, as an owner of keys.
-pub(crate) fn life_of(id: &str, born: Option<u64>, address: SocketAddr) -> TargetInstance {
+pub(crate) fn instance_of(id: &str, born: Option<u64>, address: SocketAddr) -> TargetInstance {
     TargetInstance { id: id.to_owned(), born, address: address.to_string() }
 }
 
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -30,17 +30,17 @@
 use tokio::sync::Notify;
 
 use self::answers::pass_on;
-use crate::admission::{AdmissionBelief, AdmissionTable};
+use crate::admission::{AdmissionTable, CachedAdmission};
 use crate::drain::DrainState;
 use crate::evacuation::ZoneStates;
-use crate::exchange::TargetAnswer;
+use crate::exchange::TargetResponse;
 use crate::fleet::FleetTable;
-use crate::incoming::{PlannedRequest, plan_request};
-use crate::load_count::LoadCounter;
+use crate::incoming::{IncomingRequest, read_request};
+use crate::load_counter::LoadCounter;
 use crate::metrics::GatewayMetrics;
-use crate::retry_share::RetryShare;
-use crate::roster::{RosterRules, TargetRoster};
+use crate::retry_budget::RetryBudget;
 use crate::route_table::RouteTable;
+use crate::target_registry::{RegistryRules, TargetRegistry};
 use crate::waiting::wait_for;
 use crate::{
     CallerLimits, ColdSettings, Declarations, EvacuatedZones, HeaderNames, PolicySettings,
@@ -68,18 +68,18 @@
     zones: ZoneStates,
     limits: CallerLimits,
     table: Rc<RouteTable>,
-    roster: TargetRoster,
+    roster: TargetRegistry,
     ranges: Arc<RangeMap>,
-    admissions: AdmissionBelief,
+    admissions: CachedAdmission,
     taken: BeliefTimes,
 }
 
 impl WorkerBeliefs {
     /// Makes the roster anew of what is believed now.
     fn rebuild_roster(&mut self, bounds: Option<ColdSettings>) {
-        let rules = RosterRules {
+        let rules = RegistryRules {
             services: &self.services,
-            bounds,
+            cold_settings: bounds,
             fleet: &self.fleet,
             zones: &self.zones,
         };
@@ -88,7 +88,7 @@
 
     /// Whether each key of a service has one owner.
     fn is_divided(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|rule| rule.divided)
+        self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 }
 
@@ -121,7 +121,7 @@
     beliefs: RefCell<WorkerBeliefs>,
     /// Woken by every new belief.
     changed: Notify,
-    retries: RefCell<RetryShare>,
+    retries: RefCell<RetryBudget>,
     rng: RefCell<fastrand::Rng>,
     keys: LoadCounter,
     /// Requests that wait for any target of a service.
@@ -152,12 +152,12 @@
     /// Whether a target may have run the request.
     may_have_run: bool,
     /// A failure that a target answered, to be passed on if nothing better comes.
-    answer: Option<TargetAnswer>,
+    answer: Option<TargetResponse>,
 }
 
 /// What follows a try.
 enum NextStep {
-    Done(TargetAnswer),
+    Done(TargetResponse),
     Again,
     Fail(ErrorKind),
 }
@@ -173,9 +173,9 @@
             zones: ZoneStates::default(),
             limits: CallerLimits::default(),
             table: Rc::default(),
-            roster: TargetRoster::new(parts.vm, parts.zone.clone()),
+            roster: TargetRegistry::new(parts.vm, parts.zone.clone()),
             ranges: Arc::default(),
-            admissions: AdmissionBelief::new(Arc::default()),
+            admissions: CachedAdmission::new(Arc::default()),
             taken: BeliefTimes { declarations: started, targets: started, ranges: started },
         };
         Rc::new(Self {
@@ -183,7 +183,7 @@
             zone: parts.zone,
             beliefs: RefCell::new(beliefs),
             changed: Notify::new(),
-            retries: RefCell::new(RetryShare::new(parts.retry_burst)),
+            retries: RefCell::new(RetryBudget::new(parts.retry_burst)),
             rng: RefCell::new(fastrand::Rng::new()),
             keys: parts.keys,
             queues: RefCell::default(),
@@ -228,7 +228,7 @@
     /// Takes over which availability zones are evacuated.
     pub(crate) fn set_evacuations(&self, zones: &EvacuatedZones) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.zones.take(zones, BootClock.now());
+        beliefs.zones.update(zones, BootClock.now());
         beliefs.rebuild_roster(self.cold);
         self.changed.notify_waiters();
     }
@@ -265,8 +265,8 @@
     /// Takes over the holder's word about crowded owners and targets that name limits.
     pub(crate) fn set_admissions(&self, admissions: Arc<AdmissionTable>) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.roster.note_told_limits(&admissions);
-        beliefs.admissions = AdmissionBelief::new(admissions);
+        beliefs.roster.set_reported_limits(&admissions);
+        beliefs.admissions = CachedAdmission::new(admissions);
     }
 
     /// Answers one request of a caller.
@@ -281,17 +281,17 @@
             let beliefs = self.beliefs.borrow();
             (Rc::clone(&beliefs.table), beliefs.limits)
         };
-        let planned = match plan_request(request, &self.names, limits, &table).await {
+        let planned = match read_request(request, &self.names, limits, &table).await {
             Ok(planned) if self.policy.caller_age.is_on() => planned,
-            Ok(planned) => PlannedRequest { age: Duration::ZERO, ..planned },
+            Ok(planned) => IncomingRequest { caller_age: Duration::ZERO, ..planned },
             Err(kind) => return self.refuse_unread(kind, &id),
         };
-        if self.drain.would_cut(planned.until) {
+        if self.drain.ends_before(planned.deadline) {
             return self.refuse(ErrorKind::Stopping, &id, Some(&planned));
         }
         match self.serve(&planned).await {
             Ok(answer) => {
-                self.metrics.note_answer(planned.main_service(), planned.arrived.elapsed());
+                self.metrics.record_response(planned.main_service(), planned.arrived_at.elapsed());
                 self.log_sample(&id, &planned, &answer);
                 pass_on(answer)
             }
@@ -314,7 +314,7 @@
         let metrics = &self.metrics;
         let opened = i64::try_from(beliefs.roster.opened()).unwrap_or(i64::MAX);
         metrics.connections.set(opened);
-        let signs = beliefs.roster.count_signs(BootClock.now());
+        let signs = beliefs.roster.count_signals(BootClock.now());
         metrics.leaving.set(signs.leaving);
         metrics.paused.set(signs.paused);
         metrics.limited.set(signs.limited);
--- a/crates/nickellead_gateway/src/worker/tries.rs
+++ b/crates/nickellead_gateway/src/worker/tries.rs
@@ -8,17 +8,20 @@
 use nickellead_time::BootClock;
 
 use super::{NextStep, RETURN_TIME, RequestWorker, TryState};
-use crate::exchange::{TargetAnswer, TryEnd, TryPlan, try_target};
-use crate::incoming::PlannedRequest;
-use crate::roster::{RunningGuard, TargetMember};
+use crate::exchange::{AttemptEnd, AttemptPlan, TargetResponse, run_attempt};
+use crate::incoming::IncomingRequest;
+use crate::target_registry::{InFlightGuard, RegisteredTarget};
 
 /// Most tries that failed before anything was sent.
 const UNSENT_TRIES: u32 = 4;
 
 impl RequestWorker {
     /// Tries a request until an answer stands, or says why none does.
-    pub(super) async fn serve(&self, planned: &PlannedRequest) -> Result<TargetAnswer, ErrorKind> {
-        let part = planned.route.next_part().ok_or(ErrorKind::NoTarget)?;
+    pub(super) async fn serve(
+        &self,
+        planned: &IncomingRequest,
+    ) -> Result<TargetResponse, ErrorKind> {
+        let part = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
         self.note_request(planned, &part.service);
         if !self.is_admitted(planned, &part.service) {
             return Err(ErrorKind::Overloaded);
@@ -39,7 +42,7 @@
                     return finish(state, kind);
                 }
             };
-            self.note_signs(&part.service, &member, end.signs, end.sent);
+            self.note_signs(&part.service, &member, end.signals, end.sent_at);
             match self.judge(planned, &member, &mut state, end, since.elapsed()) {
                 NextStep::Done(answer) => return Ok(answer),
                 NextStep::Fail(kind) => return finish(state, kind),
@@ -61,62 +64,67 @@
         tokio::select! {
             // The end of one request makes room for another one, which must not begin then.
             biased;
-            () = self.drain.last_moment() => Err(ErrorKind::Stopping),
+            () = self.drain.wait_for_deadline() => Err(ErrorKind::Stopping),
             done = work => Ok(done),
         }
     }
 
     /// Counts a request for the share of further tries, and its key for the spread of load.
-    fn note_request(&self, planned: &PlannedRequest, service: &str) {
-        self.retries.borrow_mut().note_request(service);
+    fn note_request(&self, planned: &IncomingRequest, service: &str) {
+        self.retries.borrow_mut().record_request(service);
         if let Some(key) = planned.key
             && self.beliefs.borrow().is_divided(service)
         {
-            self.keys.note(service, key);
+            self.keys.record_request(service, key);
         }
     }
 
     /// Whether a request may go to the owner of its key, of which all VMs together send too much.
     ///
     /// Drawn at random, so that the VMs need not know of each other's requests.
-    fn is_admitted(&self, planned: &PlannedRequest, service: &str) -> bool {
+    fn is_admitted(&self, planned: &IncomingRequest, service: &str) -> bool {
         let Some(key) = planned.key.filter(|_| self.policy.shared_admission.is_on()) else {
             return true;
         };
-        let share = self.beliefs.borrow().admissions.share(service, key);
+        let share = self.beliefs.borrow().admissions.fraction(service, key);
         share >= 1.0 || self.rng.borrow_mut().f64() < share
     }
 
     /// Whether one more try is allowed; if so, it is taken from the service's share of them.
-    fn take_retry(&self, planned: &PlannedRequest, service: &str, state: &TryState) -> bool {
+    fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &TryState) -> bool {
         let within = state.sent < planned.route.rule.attempts && state.unsent < UNSENT_TRIES;
-        if !within || planned.left() < RETURN_TIME * 2 {
+        if !within || planned.remaining() < RETURN_TIME * 2 {
             return false;
         }
         // Only tries that reached a target add to the load that the share bounds.
-        state.sent == 0 || self.policy.retries.is_on() && self.retries.borrow_mut().take(service)
+        state.sent == 0
+            || self.policy.retries.is_on() && self.retries.borrow_mut().try_take(service)
     }
 
     /// Tries a request at one target, which counts it as running meanwhile.
     async fn try_member(
         &self,
-        planned: &PlannedRequest,
+        planned: &IncomingRequest,
         service: &str,
-        member: &Rc<TargetMember>,
-    ) -> TryEnd {
-        let _running = RunningGuard::new(member, &self.queue(service));
-        let until = planned.until.checked_sub(RETURN_TIME).unwrap_or(planned.until);
-        let plan =
-            TryPlan { member, repeat: planned.route.rule.repeat, stay: self.leaving_stay, until };
+        member: &Rc<RegisteredTarget>,
+    ) -> AttemptEnd {
+        let _running = InFlightGuard::new(member, &self.queue(service));
+        let until = planned.deadline.checked_sub(RETURN_TIME).unwrap_or(planned.deadline);
+        let plan = AttemptPlan {
+            target: member,
+            repeat: planned.route.rule.repeat,
+            leaving_window: self.leaving_stay,
+            deadline: until,
+        };
         let watch = AbandonWatch { member, since: Instant::now(), armed: true };
         let goal = planned.route.rule.latency_target;
-        let mut trying = std::pin::pin!(try_target(&self.names, &planned.outgoing, &plan));
+        let mut trying = std::pin::pin!(run_attempt(&self.names, &planned.outgoing, &plan));
         let end = match tokio::time::timeout(goal, &mut trying).await {
             Ok(end) => end,
             Err(_) => {
                 // A target that swallows requests is known by their age, long before their end.
                 if self.policy.answer_time_limit.is_on() {
-                    member.note_overdue(goal, BootClock.now());
+                    member.record_overdue(goal, BootClock.now());
                 }
                 trying.await
             }
@@ -139,7 +147,7 @@
 }
 
 /// Ends a request that has no answer: a target's own failure goes before ours.
-fn finish(state: TryState, kind: ErrorKind) -> Result<TargetAnswer, ErrorKind> {
+fn finish(state: TryState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
     if let Some(answer) = state.answer {
         return Ok(answer);
     }
@@ -150,7 +158,7 @@
 
 /// Learns from a try that ended because its caller left.
 struct AbandonWatch<'a> {
-    member: &'a Rc<TargetMember>,
+    member: &'a Rc<RegisteredTarget>,
     since: Instant,
     armed: bool,
 }
@@ -165,7 +173,7 @@
     fn drop(&mut self) {
         if self.armed {
             let outcome = TargetOutcome::Abandoned(self.since.elapsed());
-            self.member.note_outcome(outcome, BootClock.now());
+            self.member.record_outcome(outcome, BootClock.now());
         }
     }
 }
