--- a/benches/capacity/news.rs
+++ b/benches/capacity/news.rs
@@ -8,7 +8,7 @@
 
 use nickellead_gateway::{
     Declarations, DeclarationsChange, DeclarationsHistory, DeclaredStep, DeclaredUpdate, Packed,
-    RangesHistory, RangesNews, Revision, Stored,
+    RangesHistory, RangesUpdate, Revision, Stored,
 };
 use nickellead_peer::encode;
 use nickellead_range::{MapChange, RangeMap, RangeRecord, TargetInstance};
@@ -201,20 +201,20 @@
     history.take_whole(stored(2, &new));
     let tell = || bytes_of(&history.since(Revision::without_era(1)).unwrap());
     sink.put("news-map-write", "bytes", tell() as f64);
-    sink.put("news-map-whole", "bytes", bytes_of(&RangesNews::Whole(stored(2, &new))) as f64);
+    sink.put("news-map-whole", "bytes", bytes_of(&RangesUpdate::Whole(stored(2, &new))) as f64);
     let slopes = ["news-map-root-15-readers", "news-map-root-24-readers"];
     let times = ["news-map-root-15-readers-time", "news-map-root-24-readers-time"];
     for (place, readers) in READERS.into_iter().enumerate() {
         let told = sink.time(times[place], || tell_all(readers, tell));
         sink.put(slopes[place], "bytes", told as f64);
     }
-    let Some(RangesNews::Steps(steps)) = history.since(Revision::without_era(1)) else {
+    let Some(RangesUpdate::Steps(steps)) = history.since(Revision::without_era(1)) else {
         unreachable!("steps are shorter than the map")
     };
     let applied = sink.time("news-map-apply", || steps[0].change.apply(&old).unwrap());
     assert_eq!(applied, new);
 }
 
-fn bytes_of(news: &RangesNews) -> usize {
+fn bytes_of(news: &RangesUpdate) -> usize {
     encode(news).unwrap().len()
 }
--- a/crates/nickellead_gateway/src/book/declared.rs
+++ b/crates/nickellead_gateway/src/cluster_state/declared.rs
@@ -11,7 +11,7 @@
 
 /// What one VM tells another of the declarations.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(crate) struct DeclaredTell {
+pub(crate) struct DeclarationsUpdate {
     /// The store's revision that they are as of.
     pub(crate) as_of: Revision,
     /// How to get at them.
--- a/crates/nickellead_gateway/src/book/mod.rs
+++ b/crates/nickellead_gateway/src/cluster_state/mod.rs
@@ -7,9 +7,9 @@
 //! `news` is what VMs tell each other.
 
 mod declared;
-mod news;
 mod ranges;
 mod targets;
+mod updates;
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use nickellead_range::{RangeMap, TargetInstance};
 use tokio::sync::Notify;
 
+pub(crate) use self::declared::DeclarationsUpdate;
 use self::declared::DeclaredPart;
-pub(crate) use self::declared::DeclaredTell;
-use self::news::log_unusable;
-pub(crate) use self::news::{BookMark, BookNews};
-pub use self::ranges::{RangesHistory, RangesNews, RangesStep, StepsMisfit};
+pub use self::ranges::{RangesHistory, RangesStep, RangesUpdate, StepsMisfit};
 pub(crate) use self::targets::LAPSE_TIME;
 use self::targets::{ChangeOrigin, TargetPart};
+use self::updates::log_unusable;
+pub(crate) use self::updates::{StateCursor, StateUpdate};
 use crate::admission::AdmissionTable;
 use crate::fleet::{AnnouncementStamp, FleetTable};
 use crate::packed::Packed;
@@ -54,7 +54,7 @@
 }
 
 /// One VM's book.
-pub(crate) struct BeliefBook {
+pub(crate) struct ClusterState {
     incarnation: u64,
     known: Cell<KnownRevisions>,
     declared: RefCell<DeclaredPart>,
@@ -73,7 +73,7 @@
     pub(crate) changed: Notify,
 }
 
-impl BeliefBook {
+impl ClusterState {
     pub(crate) fn new(incarnation: u64, told: StateSenders) -> Self {
         Self {
             incarnation,
@@ -172,7 +172,7 @@
 
     /// Takes over declarations that another VM told, older ones are ignored; tells whether they fit
     /// what is known.
-    pub(crate) fn take_declarations(&self, told: DeclaredTell) -> bool {
+    pub(crate) fn take_declarations(&self, told: DeclarationsUpdate) -> bool {
         let applied = match told.news.apply(self.declarations().as_deref()) {
             Ok(applied) => applied,
             Err(error) => {
@@ -207,10 +207,13 @@
     }
 
     /// What a reader needs that knows this content of the declarations, or none.
-    pub(crate) fn declarations_since(&self, known: Option<DeclaredState>) -> Option<DeclaredTell> {
+    pub(crate) fn declarations_since(
+        &self,
+        known: Option<DeclaredState>,
+    ) -> Option<DeclarationsUpdate> {
         let newest = self.declarations()?;
         let news = self.declared.borrow_mut().since(known, &newest)?;
-        Some(DeclaredTell { as_of: self.known().declarations.unwrap_or_default(), news })
+        Some(DeclarationsUpdate { as_of: self.known().declarations.unwrap_or_default(), news })
     }
 
     /// Takes over the whole list of targets that the store told, unless a newer one is known.
--- a/crates/nickellead_gateway/src/book/ranges.rs
+++ b/crates/nickellead_gateway/src/cluster_state/ranges.rs
@@ -31,7 +31,7 @@
 
 /// What a VM tells another one of the map of ranges.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum RangesNews {
+pub enum RangesUpdate {
     /// The steps from the reader's map to the newest one, oldest first.
     Steps(Vec<RangesStep>),
     /// The newest map.
@@ -138,10 +138,10 @@
     ///
     /// `None` when its map is as new as the newest one here.
     #[must_use]
-    pub fn since(&self, mark: Revision) -> Option<RangesNews> {
+    pub fn since(&self, mark: Revision) -> Option<RangesUpdate> {
         let newest = self.newest.as_ref().filter(|newest| mark < newest.revision)?;
         let steps = self.steps_from(mark).filter(|steps| is_shorter(steps, &newest.value));
-        Some(steps.map_or_else(|| RangesNews::Whole(newest.clone()), RangesNews::Steps))
+        Some(steps.map_or_else(|| RangesUpdate::Whole(newest.clone()), RangesUpdate::Steps))
     }
 
     /// The steps from a revision on; `None` when they are not kept.
--- a/crates/nickellead_gateway/src/book/news.rs
+++ b/crates/nickellead_gateway/src/cluster_state/updates.rs
@@ -5,7 +5,7 @@
 use nickellead_range::RangeMap;
 
 use super::targets::ChangeOrigin;
-use super::{BeliefBook, RangesNews, RangesStep};
+use super::{ClusterState, RangesStep, RangesUpdate};
 use crate::admission::AdmissionTable;
 use crate::fleet::{AnnouncementStamp, FleetTable};
 use crate::packed::{Packed, PackedError};
@@ -16,7 +16,7 @@
 
 /// How far a VM's copy of another VM's book reaches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct BookMark {
+pub(crate) struct StateCursor {
     /// Life of the process whose book it is.
     pub(crate) incarnation: u64,
     /// Number of the last change of targets taken from it; `None` before its whole list was taken.
@@ -39,20 +39,20 @@
 
 /// What is new in a book since a mark.
 #[derive(Clone, Debug, Default, Encode, Decode)]
-pub(crate) struct BookNews {
+pub(crate) struct StateUpdate {
     /// Where the reader's copy now reaches.
-    pub(crate) mark: BookMark,
+    pub(crate) mark: StateCursor,
     /// The store's revision that the declarations of the mark are as of.
     pub(crate) declarations_as_of: Revision,
     /// Whether the mark announces declarations that the reader did not know of. They are asked for
     /// apart, so that they hold nothing back.
     pub(crate) announces: bool,
     /// What is new of the targets; `None` while the reader knows newer ones.
-    pub(crate) targets: Option<TargetsTell>,
+    pub(crate) targets: Option<TargetsUpdate>,
     /// The store's revision that the ranges are as of.
     pub(crate) ranges_as_of: Revision,
     /// A newer map of ranges.
-    pub(crate) ranges: Option<RangesTell>,
+    pub(crate) ranges: Option<RangesPayload>,
     /// A newer mandate.
     pub(crate) mandate: Option<Stored<MandateRecord>>,
     /// A newer word about crowded owners, whole: it names few of them.
@@ -65,18 +65,18 @@
 
 /// What one VM tells another of the targets.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(crate) struct TargetsTell {
+pub(crate) struct TargetsUpdate {
     /// The store's revision that they are as of.
     pub(crate) as_of: Revision,
     /// Whether a watch of the store may go on from there: not so while entries are kept that the store
     /// does not list, because they may only have lapsed.
     pub(crate) watchable: bool,
-    pub(crate) news: TargetsNews,
+    pub(crate) news: TargetsPayload,
 }
 
 /// How the targets come to be as they are.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(crate) enum TargetsNews {
+pub(crate) enum TargetsPayload {
     /// All of them, for a reader that is too far behind: a quarter of the bytes when packed, and those
     /// that tell twenty others at once have links of 20 Mbit/s.
     Whole(Packed<TargetList>),
@@ -86,24 +86,24 @@
 
 /// What one VM tells another of the map of ranges.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(crate) enum RangesTell {
+pub(crate) enum RangesPayload {
     /// The steps from the reader's map to the newest one, oldest first.
     Steps(Vec<RangesStep>),
     /// The newest map.
     Whole(Packed<Stored<RangeMap>>),
 }
 
-impl TargetsTell {
+impl TargetsUpdate {
     fn is_empty(&self) -> bool {
-        matches!(&self.news, TargetsNews::Changes(changes) if changes.is_empty())
+        matches!(&self.news, TargetsPayload::Changes(changes) if changes.is_empty())
     }
 }
 
-impl BookNews {
+impl StateUpdate {
     /// Whether there is nothing new.
     pub(crate) fn is_empty(&self) -> bool {
         !self.announces
-            && self.targets.as_ref().is_none_or(TargetsTell::is_empty)
+            && self.targets.as_ref().is_none_or(TargetsUpdate::is_empty)
             && self.ranges.is_none()
             && self.mandate.is_none()
             && self.admissions.is_none()
@@ -112,10 +112,10 @@
     }
 }
 
-impl BeliefBook {
+impl ClusterState {
     /// What a reader with this book knows, whomever it asks.
-    pub(crate) fn mark(&self) -> BookMark {
-        BookMark {
+    pub(crate) fn mark(&self) -> StateCursor {
+        StateCursor {
             declared: self.newest_declared(),
             targets_reached: self.targets_reached(),
             ranges: self.ranges_revision(),
@@ -123,19 +123,19 @@
             admissions: self.admission_stamp(),
             fleet: self.fleet().stamp,
             evacuations: self.evacuations.borrow().revision,
-            ..BookMark::default()
+            ..StateCursor::default()
         }
     }
 
     /// What is new for a reader at `mark`.
-    pub(crate) fn news_since(&self, mark: BookMark) -> BookNews {
+    pub(crate) fn news_since(&self, mark: StateCursor) -> StateUpdate {
         let known = self.known.get();
         let same = mark.incarnation == self.incarnation;
-        let mut news = BookNews {
-            mark: BookMark { incarnation: self.incarnation, ..mark },
+        let mut news = StateUpdate {
+            mark: StateCursor { incarnation: self.incarnation, ..mark },
             declarations_as_of: known.declarations.unwrap_or_default(),
             ranges_as_of: known.ranges.unwrap_or_default(),
-            ..BookNews::default()
+            ..StateUpdate::default()
         };
         self.announce_declarations(&mut news);
         self.tell_target_news(&mut news, same);
@@ -148,7 +148,7 @@
     }
 
     /// Announces the declarations, unless the reader knows of these.
-    fn announce_declarations(&self, news: &mut BookNews) {
+    fn announce_declarations(&self, news: &mut StateUpdate) {
         let newest = self.newest_declared();
         news.announces = newest.is_some() && newest != news.mark.declared;
         news.mark.declared = newest;
@@ -158,7 +158,7 @@
     ///
     /// A reader that comes from the store may know newer targets than this VM, or this VM may not have
     /// read them yet: the reader keeps what it has until this VM has caught up.
-    fn tell_target_news(&self, news: &mut BookNews, same: bool) {
+    fn tell_target_news(&self, news: &mut StateUpdate, same: bool) {
         let from = news.mark.targets.take().filter(|_| same);
         let mut part = self.targets.borrow_mut();
         let Some(as_of) = part.reached else { return };
@@ -166,25 +166,25 @@
             return;
         }
         let told = match from.and_then(|from| part.since(from)) {
-            Some(changes) => TargetsNews::Changes(changes),
+            Some(changes) => TargetsPayload::Changes(changes),
             None => match part.packed() {
-                Ok(packed) => TargetsNews::Whole(packed),
+                Ok(packed) => TargetsPayload::Whole(packed),
                 Err(error) => return log_untold("targets", &error),
             },
         };
         news.mark.targets = Some(part.number);
         let watchable = self.known().targets.is_some() && part.lapsing.is_empty();
-        news.targets = Some(TargetsTell { as_of, watchable, news: told });
+        news.targets = Some(TargetsUpdate { as_of, watchable, news: told });
     }
 
     /// Adds what is new of the ranges since the reader's map, whichever book that came from.
-    fn tell_ranges(&self, news: &mut BookNews) {
+    fn tell_ranges(&self, news: &mut StateUpdate) {
         let ranges = self.ranges.borrow();
         let Some(newest) = ranges.newest() else { return };
         news.ranges = match ranges.since(news.mark.ranges) {
-            Some(RangesNews::Steps(steps)) => Some(RangesTell::Steps(steps)),
-            Some(RangesNews::Whole(whole)) => match self.packed_ranges(&whole) {
-                Ok(packed) => Some(RangesTell::Whole(packed)),
+            Some(RangesUpdate::Steps(steps)) => Some(RangesPayload::Steps(steps)),
+            Some(RangesUpdate::Whole(whole)) => match self.packed_ranges(&whole) {
+                Ok(packed) => Some(RangesPayload::Whole(packed)),
                 Err(error) => return log_untold("ranges", &error),
             },
             None => return,
@@ -208,7 +208,7 @@
         }
     }
 
-    fn tell_mandate(&self, news: &mut BookNews) {
+    fn tell_mandate(&self, news: &mut StateUpdate) {
         if let Some(mandate) = self.mandate.borrow().as_ref()
             && news.mark.mandate < mandate.revision
         {
@@ -217,7 +217,7 @@
         }
     }
 
-    fn tell_admissions(&self, news: &mut BookNews) {
+    fn tell_admissions(&self, news: &mut StateUpdate) {
         let newest = self.told.admissions.borrow();
         if news.mark.admissions < newest.stamp {
             news.mark.admissions = newest.stamp;
@@ -225,7 +225,7 @@
         }
     }
 
-    fn tell_fleet(&self, news: &mut BookNews) {
+    fn tell_fleet(&self, news: &mut StateUpdate) {
         let newest = self.fleet();
         if news.mark.fleet < newest.stamp {
             news.mark.fleet = newest.stamp;
@@ -233,7 +233,7 @@
         }
     }
 
-    fn tell_evacuations(&self, news: &mut BookNews) {
+    fn tell_evacuations(&self, news: &mut StateUpdate) {
         let newest = self.evacuations.borrow();
         if news.mark.evacuations < newest.revision {
             news.mark.evacuations = newest.revision;
@@ -243,7 +243,7 @@
 
     /// Takes over another VM's news; gives the reader's next mark, or `None` when the news can't be
     /// used.
-    pub(crate) fn take_news(&self, news: BookNews) -> Option<BookMark> {
+    pub(crate) fn take_news(&self, news: StateUpdate) -> Option<StateCursor> {
         let mut mark = news.mark;
         self.take_announced(mark.declared, news.declarations_as_of);
         if let Some(told) = news.targets
@@ -282,14 +282,14 @@
 
     /// Takes over what another VM told of the targets, unless newer ones are known; `None` when it
     /// can't be read.
-    fn take_targets(&self, told: TargetsTell) -> Option<bool> {
+    fn take_targets(&self, told: TargetsUpdate) -> Option<bool> {
         let taken = match told.news {
-            TargetsNews::Whole(packed) => {
+            TargetsPayload::Whole(packed) => {
                 let list = unpack("targets", &packed)?;
                 let listing = TargetListing { targets: list, ..TargetListing::default() };
                 self.take_target_list(told.as_of, listing, None, ChangeOrigin::OtherVm)
             }
-            TargetsNews::Changes(changes) => {
+            TargetsPayload::Changes(changes) => {
                 self.take_target_changes(told.as_of, changes, None, ChangeOrigin::OtherVm);
                 true
             }
@@ -302,13 +302,13 @@
     }
 
     /// Takes over what another VM told of the ranges; `None` when it does not fit what is known.
-    fn take_ranges(&self, as_of: Revision, news: Option<RangesTell>) -> Option<()> {
+    fn take_ranges(&self, as_of: Revision, news: Option<RangesPayload>) -> Option<()> {
         let whole = match news {
-            Some(RangesTell::Steps(steps)) => {
+            Some(RangesPayload::Steps(steps)) => {
                 let taken = self.note_ranges_steps(as_of, steps);
                 return taken.map_err(|misfit| log_unusable("ranges", &misfit)).ok();
             }
-            Some(RangesTell::Whole(packed)) => Some(unpack("ranges", &packed)?),
+            Some(RangesPayload::Whole(packed)) => Some(unpack("ranges", &packed)?),
             None => None,
         };
         self.note_ranges(as_of, whole);
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -10,7 +10,7 @@
 use nickellead_range::{KeyLoad, RangeRecord};
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use super::loads::RECENT_LENGTH;
 use super::ranges::BALANCE_PERIOD;
 use crate::admission::{AdmissionRange, AdmissionTable};
@@ -106,7 +106,7 @@
     }
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what became of requests since the last look.
     pub(super) fn note_answers(&self, mut answers: HashMap<String, ResponseCounts>) {
         let listed = self.book.targets();
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -7,7 +7,7 @@
 use nickellead_range::{KeyLoad, OwnerCandidate};
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use crate::{OrderPort, ServiceRule, StorePort, TargetEntry, TargetList, TargetState};
 
 /// Targets of a new service are taken to be complete when none came for this long.
@@ -23,7 +23,7 @@
 /// No target counts as more than this many times faster or slower than the usual one.
 const SPEED_FACTOR_MOST: f64 = 3.0;
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Who may own ranges now, by service.
     pub(super) fn candidates(&self) -> Vec<(String, Vec<OwnerCandidate>)> {
         let targets = self.book.targets();
--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -7,7 +7,7 @@
 use nickellead_core::Timestamp;
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use crate::fleet::{AnnouncementStamp, FleetTable, MandateTerm};
 use crate::{OrderPort, StorePort};
 
@@ -18,27 +18,27 @@
 
 /// The last word about the fleet in one term of the mandate.
 #[derive(Clone, Copy)]
-pub(super) struct FleetWord {
+pub(super) struct FleetAnnouncement {
     term: MandateTerm,
     /// When the word was told, or else when the term began.
     since: Timestamp,
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Tells which VMs take requests, if that has changed.
     pub(super) fn tell_fleet(&self) {
         let Some(term) = self.book.mandate().as_ref().map(MandateTerm::of) else { return };
         let now = BootClock.now();
         let word = self.fleet_word.get().filter(|word| word.term == term);
         let Some(word) = word else {
-            return self.fleet_word.set(Some(FleetWord { term, since: now }));
+            return self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
         };
         let vms: BTreeSet<_> = self.reporters.borrow().keys().copied().chain([self.mark]).collect();
         let known = self.book.fleet();
         if now.since(word.since) < FLEET_PAUSE || known.vms == vms {
             return;
         }
-        self.fleet_word.set(Some(FleetWord { term, since: now }));
+        self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
         let word = if known.stamp.term == term { known.stamp.sequence + 1 } else { 1 };
         self.book.note_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence: word }, vms });
     }
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -8,7 +8,7 @@
 use nickellead_range::TargetInstance;
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use super::loads::LOAD_LENGTH;
 use crate::admission::InstanceLimit;
 use crate::load_counter::LimitCounts;
@@ -28,7 +28,7 @@
 
 /// A limit that one life of a target named to any VM.
 #[derive(Clone, Copy)]
-pub(super) struct HeardLimit {
+pub(super) struct ReportedTargetLimit {
     /// Requests a second from all VMs together.
     rate: f64,
     /// When a VM last reported it.
@@ -39,7 +39,7 @@
     ends: u32,
 }
 
-impl HeardLimit {
+impl ReportedTargetLimit {
     /// Takes in what answers said since the last look.
     fn note(&mut self, counts: LimitCounts, now: Timestamp) {
         if let Some(rate) = counts.min_limit {
@@ -67,7 +67,7 @@
     }
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what targets said of limits since the last look.
     pub(super) fn note_limits(&self, counts: BTreeMap<TargetInstance, LimitCounts>) {
         let now = BootClock.now();
@@ -76,7 +76,10 @@
             match (limits.get_mut(&life), new.min_limit) {
                 (Some(known), _) => known.note(new, now),
                 (None, Some(rate)) => {
-                    limits.insert(life, HeardLimit { rate, heard: now, over: None, ends: 0 });
+                    limits.insert(
+                        life,
+                        ReportedTargetLimit { rate, heard: now, over: None, ends: 0 },
+                    );
                 }
                 (None, None) => {}
             }
--- a/crates/nickellead_gateway/src/control/loads.rs
+++ b/crates/nickellead_gateway/src/control/loads.rs
@@ -3,7 +3,7 @@
 use nickellead_event::{EventName, log_event};
 use nickellead_range::{MoveProposal, plan_moves};
 
-use super::ControlDuty;
+use super::ControlLoop;
 use crate::{OrderPort, StorePort};
 
 /// What is left of counted requests after one such period: about the last three seconds count.
@@ -19,7 +19,7 @@
 /// One more move may be under way for this many targets.
 const TARGETS_A_MOVE: usize = 8;
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what callers asked for since the last look.
     pub(super) fn note_load(&self) {
         let mut loads = self.loads.borrow_mut();
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -9,7 +9,7 @@
 use nickellead_range::{MANDATE_POLL_INTERVAL, MANDATE_RENEWAL_INTERVAL};
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use crate::relay::{AwayRule, FollowOutcome};
 use crate::{OrderPort, StoreError, StorePort, Stored};
 
@@ -37,7 +37,7 @@
 const LOOK_SPREAD: f64 = 0.4;
 
 /// Takes, renews and watches the mandate.
-pub(super) async fn keep_mandate<S: StorePort, O: OrderPort>(duty: Rc<ControlDuty<S, O>>) {
+pub(super) async fn keep_mandate<S: StorePort, O: OrderPort>(duty: Rc<ControlLoop<S, O>>) {
     let started = BootClock.now();
     let mut spread = false;
     loop {
@@ -75,7 +75,7 @@
     }
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Whether a VM that knows nothing yet goes on looking for another VM that tells it.
     fn seeks_on(&self, started: Timestamp) -> bool {
         let within = BootClock.now().since(started) < SEEK_TIME;
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -5,10 +5,10 @@
 use nickellead_event::{EventName, log_event};
 use nickellead_range::{RangeController, RangeMap, WriteOutcome, classify_write};
 
-use super::ControlDuty;
+use super::ControlLoop;
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Writes the map if it changed.
     pub(super) fn write_map(self: &Rc<Self>) {
         let write = self.keeper.borrow_mut().as_mut().and_then(RangeController::take_write);
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -28,15 +28,15 @@
 use tokio::sync::watch;
 
 use self::admission::TargetFigures;
-use self::fleet::FleetWord;
-use self::limits::HeardLimit;
+use self::fleet::FleetAnnouncement;
+use self::limits::ReportedTargetLimit;
 use self::mandate::keep_mandate;
 use self::ranges::keep_ranges;
-use crate::book::BeliefBook;
+use crate::cluster_state::ClusterState;
 use crate::evacuation::ZoneStates;
 use crate::load_counter::{LoadCounter, VmId};
 use crate::metrics::ControlMetrics;
-use crate::relay::{NewsRelay, serve_news};
+use crate::relay::{UpdateRelay, serve_news};
 use crate::state_channels::StateSenders;
 use crate::store_health::StoreHealth;
 use crate::store_watch::StoreWatcher;
@@ -56,7 +56,7 @@
 const NUMBERS_END: u64 = 1 << 53;
 
 /// What the control duty is built from.
-pub(crate) struct ControlParts {
+pub(crate) struct ControlContext {
     pub(crate) vm: String,
     pub(crate) zone: String,
     /// Where other VMs reach this one.
@@ -76,12 +76,12 @@
 }
 
 /// The control duty of one VM.
-struct ControlDuty<S, O> {
+struct ControlLoop<S, O> {
     store: Rc<S>,
     orders: Rc<O>,
     health: Rc<StoreHealth>,
-    book: Rc<BeliefBook>,
-    relay: Rc<NewsRelay>,
+    book: Rc<ClusterState>,
+    relay: Rc<UpdateRelay>,
     mandate: RefCell<MandateState>,
     /// Stands while this VM holds the mandate, also when it ran out.
     keeper: RefCell<Option<RangeController>>,
@@ -102,7 +102,7 @@
     /// Number of the last word about crowded owners.
     admission_word: Cell<u64>,
     /// Limits that listed targets name.
-    limits: RefCell<BTreeMap<TargetInstance, HeardLimit>>,
+    limits: RefCell<BTreeMap<TargetInstance, ReportedTargetLimit>>,
     /// When a limit of a target was last told.
     limits_told: Cell<Timestamp>,
     /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
@@ -123,19 +123,19 @@
     /// This VM, among those that take requests.
     mark: VmId,
     /// The last word about the fleet.
-    fleet_word: Cell<Option<FleetWord>>,
+    fleet_word: Cell<Option<FleetAnnouncement>>,
     vm: String,
     /// How much longer than others this VM waits before it takes the mandate.
     extra_wait: Duration,
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
-    fn new(parts: ControlParts, store: S, orders: O) -> Rc<Self> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
+    fn new(parts: ControlContext, store: S, orders: O) -> Rc<Self> {
         let health = Rc::new(StoreHealth::new(parts.metrics.clone()));
-        let book = Rc::new(BeliefBook::new(parts.incarnation, parts.beliefs));
+        let book = Rc::new(ClusterState::new(parts.incarnation, parts.beliefs));
         let address = parts.announced_address;
         let mark = VmId::new(&parts.vm, &parts.zone);
-        let relay = NewsRelay::new(
+        let relay = UpdateRelay::new(
             parts.zone,
             address,
             Rc::clone(&book),
@@ -205,7 +205,7 @@
 /// # Errors
 /// The system's error when it refuses a thread.
 pub(crate) fn start<S: StorePort, O: OrderPort>(
-    parts: ControlParts,
+    parts: ControlContext,
     peers: TcpListener,
     stopping: watch::Receiver<bool>,
     ports: impl FnOnce() -> (S, O) + Send + 'static,
@@ -214,7 +214,7 @@
         if let Ok(runtime) = actix_rt::Runtime::new() {
             runtime.block_on(async move {
                 let (store, orders) = ports();
-                run(ControlDuty::new(parts, store, orders), peers, stopping).await;
+                run(ControlLoop::new(parts, store, orders), peers, stopping).await;
             });
         }
     })
@@ -222,7 +222,7 @@
 
 /// Runs the control duty until the VM stops, and then tells news until the process ends.
 async fn run<S: StorePort, O: OrderPort>(
-    duty: Rc<ControlDuty<S, O>>,
+    duty: Rc<ControlLoop<S, O>>,
     peers: TcpListener,
     mut stopping: watch::Receiver<bool>,
 ) {
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -7,7 +7,7 @@
 use nickellead_range::{MandateAuthority, OrderKind, OrderOutcome, RangeOrder, TargetInstance};
 use nickellead_time::BootClock;
 
-use super::ControlDuty;
+use super::ControlLoop;
 use super::ranges::keeper_settings;
 use crate::{OrderPort, OrderReply, StorePort};
 
@@ -18,7 +18,7 @@
 /// An order that was decided longer ago is not sent: what it rests on may have changed.
 const ORDER_AGE_MOST: Duration = Duration::from_millis(250);
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Sends the orders that are due, all at once, and takes in what becomes of each.
     pub(super) fn send_orders(self: &Rc<Self>, power: MandateAuthority) {
         let writer = self.keeper_writer();
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -10,7 +10,7 @@
 };
 use nickellead_time::BootClock;
 
-use super::{ControlDuty, draw_number};
+use super::{ControlLoop, draw_number};
 use crate::{OrderPort, OwnershipSettings, StorePort, Stored};
 
 /// Between two looks at what is due.
@@ -27,7 +27,7 @@
 const TARGET_DRIFT: DriftBound = DriftBound { parts_per_million: 25_000 };
 
 /// Sees to orders, writes of the map and moves, for as long as the mandate is held.
-pub(super) async fn keep_ranges<S: StorePort, O: OrderPort>(duty: Rc<ControlDuty<S, O>>) {
+pub(super) async fn keep_ranges<S: StorePort, O: OrderPort>(duty: Rc<ControlLoop<S, O>>) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut balanced = BootClock.now();
@@ -42,7 +42,7 @@
     }
 }
 
-impl<S: StorePort, O: OrderPort> ControlDuty<S, O> {
+impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Does what is due now, as far as this VM's mandate allows.
     async fn see_to_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
         self.note_told_mandate(now);
--- a/crates/nickellead_gateway/src/lib.rs
+++ b/crates/nickellead_gateway/src/lib.rs
@@ -10,7 +10,7 @@
 //! of the `port` module.
 
 mod admission;
-mod book;
+mod cluster_state;
 mod connections;
 mod control;
 mod declared;
@@ -41,7 +41,7 @@
 mod waiting;
 mod worker;
 
-pub use book::{RangesHistory, RangesNews, RangesStep, StepsMisfit};
+pub use cluster_state::{RangesHistory, RangesStep, RangesUpdate, StepsMisfit};
 pub use declared::{
     AppliedUpdate, CallerLimits, ChangeError, ColdRule, Declarations, DeclarationsChange,
     DeclarationsHistory, DeclaredState, DeclaredStep, DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS,
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-use crate::control::{self, ControlParts};
+use crate::control::{self, ControlContext};
 use crate::drain::DrainState;
 use crate::load_counter::LoadCounter;
 use crate::metrics::ControlMetrics;
@@ -110,7 +110,7 @@
         cold: settings.cold,
         leaving_window: Duration::from_secs_f64(settings.drain_s * LEAVING_STAY_PART),
     })?;
-    let parts = ControlParts {
+    let parts = ControlContext {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         announced_address: settings.announced_address(),
--- a/crates/nickellead_gateway/src/relay/messages.rs
+++ b/crates/nickellead_gateway/src/relay/messages.rs
@@ -6,7 +6,7 @@
 use bincode::{Decode, Encode};
 
 use crate::DeclaredState;
-use crate::book::{BookMark, BookNews, DeclaredTell};
+use crate::cluster_state::{DeclarationsUpdate, StateCursor, StateUpdate};
 use crate::load_counter::LoadCounts;
 
 /// Path of these messages, which ends in the version of their protocol: VMs of different ones follow
@@ -15,9 +15,9 @@
 
 /// A question of one VM to another.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(super) enum RelayAsk {
+pub(super) enum RelayRequest {
     /// What is new?
-    News(Box<NewsAsk>),
+    News(Box<UpdateRequest>),
     /// What are the declarations? With what the reader knows of them.
     ///
     /// They are asked for apart: a large change of them must not hold back the rest.
@@ -26,23 +26,23 @@
 
 /// A question for news.
 #[derive(Clone, Debug, Encode, Decode)]
-pub(super) struct NewsAsk {
+pub(super) struct UpdateRequest {
     pub(super) zone: String,
     pub(super) address: SocketAddr,
-    pub(super) mark: BookMark,
+    pub(super) mark: StateCursor,
     /// Sources that failed this VM a moment ago.
     pub(super) avoid: Vec<SocketAddr>,
     /// What this VM's callers asked for since its last question.
     pub(super) load: LoadCounts,
 }
 
-/// The answer to a [`RelayAsk`].
+/// The answer to a [`RelayRequest`].
 #[derive(Clone, Debug, Encode, Decode)]
-pub(super) enum RelayTell {
+pub(super) enum RelayResponse {
     /// What is new, perhaps nothing, and how long ago the store was last heard of at the root.
-    News(Box<BookNews>, Duration),
+    News(Box<StateUpdate>, Duration),
     /// Newer declarations; `None` when the VM that was asked knows none.
-    Declarations(Option<DeclaredTell>),
+    Declarations(Option<DeclarationsUpdate>),
     /// Another VM tells it.
     AskOther(SocketAddr),
     /// This VM is out of touch itself.
--- a/crates/nickellead_gateway/src/relay/mod.rs
+++ b/crates/nickellead_gateway/src/relay/mod.rs
@@ -7,11 +7,11 @@
 //! source again.
 //!
 //! This module holds where this VM gets its news. `messages` is what VMs ask
-//! and answer, `following` asks another VM, `telling` answers others.
+//! and answer, `subscribing` asks another VM, `publishing` answers others.
 
-mod following;
 mod messages;
-mod telling;
+mod publishing;
+mod subscribing;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,9 +22,9 @@
 use nickellead_event::{EventName, log_event};
 use tokio::sync::Notify;
 
-use self::telling::NewsReader;
-pub(crate) use self::telling::serve_news;
-use crate::book::BeliefBook;
+use self::publishing::UpdateSubscriber;
+pub(crate) use self::publishing::serve_news;
+use crate::cluster_state::ClusterState;
 use crate::load_counter::{LoadCounter, VmId};
 use crate::store_health::StoreHealth;
 use crate::waiting::wait_for;
@@ -40,7 +40,7 @@
 
 /// Where a VM gets its news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NewsSource {
+enum UpdateUpstream {
     /// From the store.
     Store,
     /// From another VM.
@@ -68,12 +68,12 @@
 }
 
 /// This VM's part in telling news.
-pub(crate) struct NewsRelay {
+pub(crate) struct UpdateRelay {
     zone: String,
     address: SocketAddr,
-    book: Rc<BeliefBook>,
+    book: Rc<ClusterState>,
     health: Rc<StoreHealth>,
-    source: Cell<NewsSource>,
+    source: Cell<UpdateUpstream>,
     /// When the VM at the root last heard from the store, as far as its news have come here.
     root_heard: Cell<Option<Instant>>,
     /// Whether the source last said that the store does not answer the VM at the root.
@@ -81,7 +81,7 @@
     /// Whether this VM holds the mandate.
     leads: Cell<bool>,
     /// VMs that ask this one, by address; kept by the mandate's holder only.
-    readers: RefCell<HashMap<SocketAddr, NewsReader>>,
+    readers: RefCell<HashMap<SocketAddr, UpdateSubscriber>>,
     /// When another VM last asked this one for news.
     asked: Cell<Option<Instant>>,
     loads: LoadCounter,
@@ -91,11 +91,11 @@
     changed: Notify,
 }
 
-impl NewsRelay {
+impl UpdateRelay {
     pub(crate) fn new(
         zone: String,
         address: SocketAddr,
-        book: Rc<BeliefBook>,
+        book: Rc<ClusterState>,
         health: Rc<StoreHealth>,
         loads: LoadCounter,
         mark: VmId,
@@ -105,7 +105,7 @@
             address,
             book,
             health,
-            source: Cell::new(NewsSource::Seeking),
+            source: Cell::new(UpdateUpstream::Seeking),
             root_heard: Cell::new(None),
             root_away: Cell::new(false),
             leads: Cell::new(false),
@@ -127,17 +127,17 @@
         self.leads.set(leads);
         self.changed.notify_waiters();
         if leads {
-            self.set_source(NewsSource::Store);
+            self.set_source(UpdateUpstream::Store);
         }
     }
 
     /// Notes where this VM gets its news from now on.
-    fn set_source(&self, source: NewsSource) {
+    fn set_source(&self, source: UpdateUpstream) {
         if self.source.replace(source) != source {
             let text = match source {
-                NewsSource::Store => "store".to_owned(),
-                NewsSource::Vm(address) => address.to_string(),
-                NewsSource::Seeking => "none".to_owned(),
+                UpdateUpstream::Store => "store".to_owned(),
+                UpdateUpstream::Vm(address) => address.to_string(),
+                UpdateUpstream::Seeking => "none".to_owned(),
             };
             log_event(EventName::NewsSource, &[("source", &text)]);
             self.changed.notify_waiters();
@@ -150,10 +150,10 @@
     /// follow each other in a circle notice it.
     fn news_age(&self) -> Option<Duration> {
         let heard = match self.source.get() {
-            NewsSource::Store if self.health.is_unavailable() => None,
-            NewsSource::Store => self.health.last_response(),
-            NewsSource::Vm(_) => self.root_heard.get(),
-            NewsSource::Seeking => None,
+            UpdateUpstream::Store if self.health.is_unavailable() => None,
+            UpdateUpstream::Store => self.health.last_response(),
+            UpdateUpstream::Vm(_) => self.root_heard.get(),
+            UpdateUpstream::Seeking => None,
         };
         heard.map(|heard| heard.elapsed()).filter(|age| *age < NEWS_AGE_MOST)
     }
@@ -170,17 +170,17 @@
 
     /// Whether what this VM counts goes to another VM.
     pub(crate) fn reports_load(&self) -> bool {
-        matches!(self.source.get(), NewsSource::Vm(_))
+        matches!(self.source.get(), UpdateUpstream::Vm(_))
     }
 
     /// Waits until this VM follows the store.
     pub(crate) async fn follows_store(&self) {
-        self.wait_for_source(|source| source == NewsSource::Store).await;
+        self.wait_for_source(|source| source == UpdateUpstream::Store).await;
     }
 
     /// Waits until this VM does not follow the store any more.
     pub(crate) async fn leaves_store(&self) {
-        self.wait_for_source(|source| source != NewsSource::Store).await;
+        self.wait_for_source(|source| source != UpdateUpstream::Store).await;
     }
 
     /// Waits until this VM takes the mandate; for ever while it holds it already.
@@ -197,7 +197,7 @@
     }
 
     /// Waits until this VM gets its news from a source that is wanted.
-    async fn wait_for_source(&self, wanted: impl Fn(NewsSource) -> bool) {
+    async fn wait_for_source(&self, wanted: impl Fn(UpdateUpstream) -> bool) {
         self.wait_until(|| wanted(self.source.get())).await;
     }
 
@@ -207,6 +207,6 @@
 
     /// Follows the store because no VM tells news.
     pub(crate) fn fall_back(&self) {
-        self.set_source(NewsSource::Store);
+        self.set_source(UpdateUpstream::Store);
     }
 }
--- a/crates/nickellead_gateway/src/relay/telling.rs
+++ b/crates/nickellead_gateway/src/relay/publishing.rs
@@ -6,8 +6,8 @@
 
 use nickellead_peer::{PeerHandler, serve_peers};
 
-use super::messages::{NewsAsk, RELAY_PATH, RelayAsk, RelayTell};
-use super::{ASK_WAIT, NewsRelay, NewsSource};
+use super::messages::{RELAY_PATH, RelayRequest, RelayResponse, UpdateRequest};
+use super::{ASK_WAIT, UpdateRelay, UpdateUpstream};
 use crate::DeclaredState;
 use crate::waiting::wait_for;
 
@@ -27,7 +27,7 @@
 const NEWS_PAUSE: Duration = Duration::from_millis(15);
 
 /// A VM that gets its news from this one.
-pub(super) struct NewsReader {
+pub(super) struct UpdateSubscriber {
     /// Its availability zone.
     zone: String,
     /// When it last asked.
@@ -36,9 +36,9 @@
     sent_on: u32,
 }
 
-impl NewsRelay {
+impl UpdateRelay {
     /// Where a reader should ask instead, if not here.
-    fn better_source(&self, ask: &NewsAsk) -> Option<SocketAddr> {
+    fn better_source(&self, ask: &UpdateRequest) -> Option<SocketAddr> {
         if !self.leads.get() {
             return None;
         }
@@ -59,7 +59,7 @@
                 return Some(*address);
             }
         }
-        let reader = NewsReader { zone: ask.zone.clone(), seen: Instant::now(), sent_on: 0 };
+        let reader = UpdateSubscriber { zone: ask.zone.clone(), seen: Instant::now(), sent_on: 0 };
         readers.insert(ask.address, reader);
         None
     }
@@ -69,44 +69,44 @@
     fn regains_touch_by(&self, since: Instant) -> Instant {
         match self.source.get() {
             // It is about to learn the news itself.
-            NewsSource::Seeking => since + ASK_WAIT,
-            NewsSource::Vm(_) => since + STALE_WAIT,
+            UpdateUpstream::Seeking => since + ASK_WAIT,
+            UpdateUpstream::Vm(_) => since + STALE_WAIT,
             // It follows the store now and may only be waiting for its first answer.
-            NewsSource::Store => since + STALE_WAIT,
+            UpdateUpstream::Store => since + STALE_WAIT,
         }
     }
 
     /// Whether this VM has no news because the store answers neither it nor its source.
     fn store_is_away(&self) -> bool {
         match self.source.get() {
-            NewsSource::Store => self.health.is_unavailable(),
-            NewsSource::Vm(_) => self.root_away.get(),
-            NewsSource::Seeking => false,
+            UpdateUpstream::Store => self.health.is_unavailable(),
+            UpdateUpstream::Vm(_) => self.root_away.get(),
+            UpdateUpstream::Seeking => false,
         }
     }
 
-    async fn answer(&self, ask: RelayAsk) -> RelayTell {
+    async fn answer(&self, ask: RelayRequest) -> RelayResponse {
         match ask {
-            RelayAsk::News(ask) => self.tell_news(*ask).await,
-            RelayAsk::Declarations(known) => self.tell_declarations(known).await,
+            RelayRequest::News(ask) => self.tell_news(*ask).await,
+            RelayRequest::Declarations(known) => self.tell_declarations(known).await,
         }
     }
 
     /// Answers a question for declarations, once this VM knows newer ones, or after a while.
-    async fn tell_declarations(&self, known: Option<DeclaredState>) -> RelayTell {
+    async fn tell_declarations(&self, known: Option<DeclaredState>) -> RelayResponse {
         let newer = wait_for(&self.book.changed, || self.book.has_newer_than(known).then_some(()));
         match tokio::time::timeout(ASK_WAIT, newer).await {
-            Ok(()) => RelayTell::Declarations(self.book.declarations_since(known)),
-            Err(_) => RelayTell::Declarations(None),
+            Ok(()) => RelayResponse::Declarations(self.book.declarations_since(known)),
+            Err(_) => RelayResponse::Declarations(None),
         }
     }
 
     /// Answers a question for news, at once when there are any and else after a while.
-    async fn tell_news(&self, mut ask: NewsAsk) -> RelayTell {
+    async fn tell_news(&self, mut ask: UpdateRequest) -> RelayResponse {
         self.loads.merge(std::mem::take(&mut ask.load));
         self.asked.set(Some(Instant::now()));
         if let Some(other) = self.better_source(&ask) {
-            return RelayTell::AskOther(other);
+            return RelayResponse::AskOther(other);
         }
         let until = Instant::now() + ASK_WAIT;
         let mut stale_since = None;
@@ -116,9 +116,9 @@
                 let since = *stale_since.get_or_insert_with(Instant::now);
                 if Instant::now() >= self.regains_touch_by(since).min(until) {
                     return if self.store_is_away() {
-                        RelayTell::StoreAway
+                        RelayResponse::StoreAway
                     } else {
-                        RelayTell::OutOfTouch
+                        RelayResponse::OutOfTouch
                     };
                 }
                 let _ = tokio::time::timeout(STALE_LOOK, changed).await;
@@ -128,7 +128,7 @@
             let news = self.book.news_since(ask.mark);
             let left = until.saturating_duration_since(Instant::now());
             if !news.is_empty() || left.is_zero() {
-                return RelayTell::News(Box::new(news), age);
+                return RelayResponse::News(Box::new(news), age);
             }
             if tokio::time::timeout(left.min(TOUCH_LOOK), changed).await.is_ok() {
                 tokio::time::sleep(NEWS_PAUSE).await;
@@ -138,8 +138,8 @@
 }
 
 /// Answers other VMs for as long as the process lives.
-pub(crate) async fn serve_news(relay: Rc<NewsRelay>, listener: tokio::net::TcpListener) {
-    let handler: PeerHandler<RelayAsk, RelayTell> = Rc::new(move |ask, _| {
+pub(crate) async fn serve_news(relay: Rc<UpdateRelay>, listener: tokio::net::TcpListener) {
+    let handler: PeerHandler<RelayRequest, RelayResponse> = Rc::new(move |ask, _| {
         let relay = Rc::clone(&relay);
         Box::pin(async move { relay.answer(ask).await })
     });
--- a/crates/nickellead_gateway/src/relay/following.rs
+++ b/crates/nickellead_gateway/src/relay/subscribing.rs
@@ -6,9 +6,9 @@
 use nickellead_event::{EventName, log_event};
 use nickellead_peer::{ExchangeProgress, PeerClient};
 
-use super::messages::{NewsAsk, RELAY_PATH, RelayAsk, RelayTell};
-use super::{ASK_WAIT, AwayRule, FollowOutcome, NewsRelay, NewsSource};
-use crate::book::{BookMark, BookNews};
+use super::messages::{RELAY_PATH, RelayRequest, RelayResponse, UpdateRequest};
+use super::{ASK_WAIT, AwayRule, FollowOutcome, UpdateRelay, UpdateUpstream};
+use crate::cluster_state::{StateCursor, StateUpdate};
 
 /// How long an answer may take to begin, beyond [`ASK_WAIT`], before its VM counts as lost.
 ///
@@ -27,7 +27,7 @@
 /// Answers of this size and above are logged, in bytes: changes of calm seconds are smaller.
 const LARGE_ANSWER: usize = 16 * 1024;
 
-type RelayClient = PeerClient<RelayAsk, RelayTell>;
+type RelayClient = PeerClient<RelayRequest, RelayResponse>;
 
 /// Why a VM is asked for news no more.
 enum FollowEnd {
@@ -66,7 +66,7 @@
     }
 }
 
-impl NewsRelay {
+impl UpdateRelay {
     /// Asks `first` for news, and whom it names, for as long as one of them answers.
     ///
     /// Returns when no source is left, or as `rule` says.
@@ -87,8 +87,8 @@
                 }
             }
         }
-        if matches!(self.source.get(), NewsSource::Vm(_)) {
-            self.set_source(NewsSource::Seeking);
+        if matches!(self.source.get(), UpdateUpstream::Vm(_)) {
+            self.set_source(UpdateUpstream::Seeking);
         }
         FollowOutcome::Lost
     }
@@ -125,15 +125,15 @@
         while !self.leads.get() {
             let mut load = self.loads.take();
             load.vms.insert(self.mark);
-            let ask = NewsAsk {
+            let ask = UpdateRequest {
                 zone: self.zone.clone(),
                 address: self.address,
                 mark,
                 avoid: avoid.to_vec(),
                 load,
             };
-            match client.call(&RelayAsk::News(Box::new(ask)), ASK_WAIT + ANSWER_TIME).await {
-                Ok(RelayTell::News(news, age)) => {
+            match client.call(&RelayRequest::News(Box::new(ask)), ASK_WAIT + ANSWER_TIME).await {
+                Ok(RelayResponse::News(news, age)) => {
                     log_large(client.address(), client.progress());
                     let age = age + client.progress().on_way;
                     mark = match self.take_news(*news, age) {
@@ -141,26 +141,26 @@
                         Err(reason) => return FollowEnd::Lost(reason),
                     };
                     self.root_away.set(false);
-                    self.set_source(NewsSource::Vm(client.address()));
+                    self.set_source(UpdateUpstream::Vm(client.address()));
                 }
-                Ok(RelayTell::StoreAway) => {
+                Ok(RelayResponse::StoreAway) => {
                     self.root_away.set(true);
                     if rule == AwayRule::Leave {
                         return FollowEnd::StoreAway;
                     }
-                    self.set_source(NewsSource::Vm(client.address()));
+                    self.set_source(UpdateUpstream::Vm(client.address()));
                     tokio::time::sleep(AWAY_PAUSE).await;
                 }
-                Ok(RelayTell::AskOther(other)) => return FollowEnd::AskOther(other),
-                Ok(RelayTell::OutOfTouch) => return FollowEnd::Lost(LossReason::OutOfTouch),
-                Ok(RelayTell::Declarations(_)) => return FollowEnd::Lost(LossReason::Unusable),
+                Ok(RelayResponse::AskOther(other)) => return FollowEnd::AskOther(other),
+                Ok(RelayResponse::OutOfTouch) => return FollowEnd::Lost(LossReason::OutOfTouch),
+                Ok(RelayResponse::Declarations(_)) => return FollowEnd::Lost(LossReason::Unusable),
                 Err(_) => return FollowEnd::Lost(LossReason::NoAnswer),
             }
         }
         FollowEnd::Lost(LossReason::Leads)
     }
 
-    fn take_news(&self, news: BookNews, age: Duration) -> Result<BookMark, LossReason> {
+    fn take_news(&self, news: StateUpdate, age: Duration) -> Result<StateCursor, LossReason> {
         self.root_heard.set(Instant::now().checked_sub(age));
         let mark = self.book.take_news(news).ok_or(LossReason::Unusable)?;
         match self.book.mandate() {
@@ -177,11 +177,12 @@
         loop {
             self.book.wait_for_lack().await;
             let known = self.book.declared_state().filter(|_| !whole);
-            let told = match client.call(&RelayAsk::Declarations(known), DECLARATIONS_WAIT).await {
-                Ok(RelayTell::Declarations(told)) => told,
-                Ok(_) => return LossReason::Unusable,
-                Err(_) => return LossReason::NoAnswer,
-            };
+            let told =
+                match client.call(&RelayRequest::Declarations(known), DECLARATIONS_WAIT).await {
+                    Ok(RelayResponse::Declarations(told)) => told,
+                    Ok(_) => return LossReason::Unusable,
+                    Err(_) => return LossReason::NoAnswer,
+                };
             log_large(client.address(), client.progress());
             let Some(told) = told else {
                 // The VM does not know them itself yet.
--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -15,7 +15,7 @@
 use crate::load_counter::LoadCounter;
 use crate::metrics::{ControlMetrics, GatewayMetrics};
 use crate::state_channels::StateReceivers;
-use crate::worker::{RequestWorker, WorkerParts};
+use crate::worker::{RequestWorker, WorkerContext};
 use crate::{ColdSettings, HeaderNames, PolicySettings};
 
 /// Most connections to the readiness and metrics address.
@@ -62,7 +62,7 @@
     let metrics = GatewayMetrics::register(&mut registry);
     parts.control_metrics.register(&mut registry);
     let registry = Rc::new(registry);
-    let worker = RequestWorker::new(WorkerParts {
+    let worker = RequestWorker::new(WorkerContext {
         names: parts.names,
         vm: parts.vm,
         zone: parts.zone,
--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::book::{BeliefBook, LAPSE_TIME};
-use crate::relay::NewsRelay;
+use crate::cluster_state::{ClusterState, LAPSE_TIME};
+use crate::relay::UpdateRelay;
 use crate::store_health::StoreHealth;
 use crate::{Declarations, Revision, Snapshot, StoreError, StorePort, Stored};
 
@@ -58,8 +58,8 @@
 pub(crate) struct StoreWatcher<S> {
     pub(crate) store: Rc<S>,
     pub(crate) health: Rc<StoreHealth>,
-    pub(crate) book: Rc<BeliefBook>,
-    pub(crate) relay: Rc<NewsRelay>,
+    pub(crate) book: Rc<ClusterState>,
+    pub(crate) relay: Rc<UpdateRelay>,
     /// Whether availability zones may be evacuated.
     pub(crate) follows_evacuations: bool,
 }
--- a/crates/nickellead_gateway/src/worker/tries.rs
+++ b/crates/nickellead_gateway/src/worker/attempts.rs
@@ -7,7 +7,7 @@
 use nickellead_core::{ErrorKind, OutcomeClass};
 use nickellead_time::BootClock;
 
-use super::{NextStep, RETURN_TIME, RequestWorker, TryState};
+use super::{AttemptState, NextStep, RETURN_TIME, RequestWorker};
 use crate::exchange::{AttemptEnd, AttemptPlan, TargetResponse, run_attempt};
 use crate::incoming::IncomingRequest;
 use crate::target_registry::{InFlightGuard, RegisteredTarget};
@@ -26,7 +26,7 @@
         if !self.is_admitted(planned, &part.service) {
             return Err(ErrorKind::Overloaded);
         }
-        let mut state = TryState::default();
+        let mut state = AttemptState::default();
         loop {
             let waiting = self.wait_for_turn(planned, &part.service, &state);
             let member = match self.until_last_moment(waiting).await.flatten() {
@@ -91,7 +91,7 @@
     }
 
     /// Whether one more try is allowed; if so, it is taken from the service's share of them.
-    fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &TryState) -> bool {
+    fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &AttemptState) -> bool {
         let within = state.sent < planned.route.rule.attempts && state.unsent < UNSENT_TRIES;
         if !within || planned.remaining() < RETURN_TIME * 2 {
             return false;
@@ -134,7 +134,7 @@
     }
 }
 
-impl TryState {
+impl AttemptState {
     /// Why no further try is made, told by the last one.
     fn refusal(&self) -> ErrorKind {
         let last = self.tried.last();
@@ -147,7 +147,7 @@
 }
 
 /// Ends a request that has no answer: a target's own failure goes before ours.
-fn finish(state: TryState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
+fn finish(state: AttemptState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
     if let Some(answer) = state.answer {
         return Ok(answer);
     }
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -4,14 +4,14 @@
 //! is chosen, the request is tried there, and the outcome decides whether it
 //! may be tried once more.
 //!
-//! This module holds what the path believes and takes a request in. `tries` is
-//! the loop, `choose` finds a target with room, `judge` learns from a try, and
-//! `answers` builds what the caller gets.
+//! This module holds what the path believes and takes a request in. `attempts` is
+//! the loop, `selection` finds a target with room, `outcome` learns from a try, and
+//! `responses` builds what the caller gets.
 
-mod answers;
-mod choose;
-mod judge;
-mod tries;
+mod attempts;
+mod outcome;
+mod responses;
+mod selection;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -29,7 +29,7 @@
 use nickellead_time::BootClock;
 use tokio::sync::Notify;
 
-use self::answers::pass_on;
+use self::responses::pass_on;
 use crate::admission::{AdmissionTable, CachedAdmission};
 use crate::drain::DrainState;
 use crate::evacuation::ZoneStates;
@@ -59,7 +59,7 @@
 const START_WAIT_PART: u32 = 2;
 
 /// What the request path believes; parts are replaced whole.
-struct WorkerBeliefs {
+struct WorkerState {
     /// Version of the declarations; `None` before the first ones.
     version: Option<u64>,
     services: BTreeMap<String, ServiceRule>,
@@ -74,7 +74,7 @@
     taken: BeliefTimes,
 }
 
-impl WorkerBeliefs {
+impl WorkerState {
     /// Makes the roster anew of what is believed now.
     fn rebuild_roster(&mut self, bounds: Option<ColdSettings>) {
         let rules = RegistryRules {
@@ -101,7 +101,7 @@
 }
 
 /// What the request path is built from.
-pub(crate) struct WorkerParts {
+pub(crate) struct WorkerContext {
     pub(crate) names: HeaderNames,
     pub(crate) vm: String,
     pub(crate) zone: String,
@@ -118,7 +118,7 @@
 pub(crate) struct RequestWorker {
     names: HeaderNames,
     zone: String,
-    beliefs: RefCell<WorkerBeliefs>,
+    beliefs: RefCell<WorkerState>,
     /// Woken by every new belief.
     changed: Notify,
     retries: RefCell<RetryBudget>,
@@ -140,7 +140,7 @@
 
 /// What is known of a request between its tries.
 #[derive(Default)]
-struct TryState {
+struct AttemptState {
     /// Tries that reached a target.
     sent: u32,
     /// Tries that failed before anything was sent.
@@ -163,9 +163,9 @@
 }
 
 impl RequestWorker {
-    pub(crate) fn new(parts: WorkerParts) -> Rc<Self> {
+    pub(crate) fn new(parts: WorkerContext) -> Rc<Self> {
         let started = Instant::now();
-        let beliefs = WorkerBeliefs {
+        let beliefs = WorkerState {
             version: None,
             services: BTreeMap::new(),
             list: Arc::default(),
--- a/crates/nickellead_gateway/src/worker/judge.rs
+++ b/crates/nickellead_gateway/src/worker/outcome.rs
@@ -8,7 +8,7 @@
 use nickellead_event::{EventName, log_event};
 use nickellead_time::BootClock;
 
-use super::{NextStep, RequestWorker, TryState};
+use super::{AttemptState, NextStep, RequestWorker};
 use crate::RepeatClass;
 use crate::connections::ConnectFailure;
 use crate::exchange::{AttemptEnd, AttemptResult, LossReason, TargetResponse};
@@ -25,7 +25,7 @@
         &self,
         planned: &IncomingRequest,
         member: &Rc<RegisteredTarget>,
-        state: &mut TryState,
+        state: &mut AttemptState,
         end: AttemptEnd,
         length: Duration,
     ) -> NextStep {
@@ -168,7 +168,7 @@
 }
 
 /// Counts a try that may be followed by another one; the request ends with a good answer.
-fn count_try(state: &mut TryState, member: &RegisteredTarget, result: &AttemptResult) {
+fn count_try(state: &mut AttemptState, member: &RegisteredTarget, result: &AttemptResult) {
     state.tried.push(member.id.clone());
     match result {
         AttemptResult::Responded(answer) if answer.status.is_server_error() => {
@@ -209,7 +209,7 @@
 /// What follows a failure that the target itself reported.
 fn after_failure(
     planned: &IncomingRequest,
-    state: &mut TryState,
+    state: &mut AttemptState,
     answer: TargetResponse,
 ) -> NextStep {
     if !is_safe(planned) {
--- a/crates/nickellead_gateway/src/worker/answers.rs
+++ b/crates/nickellead_gateway/src/worker/responses.rs
@@ -9,7 +9,7 @@
 use nickellead_event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL, log_event};
 use nickellead_proxy::{error_response, is_connection_header};
 
-use super::{RequestWorker, WorkerBeliefs};
+use super::{RequestWorker, WorkerState};
 use crate::WeightedService;
 use crate::exchange::TargetResponse;
 use crate::incoming::IncomingRequest;
@@ -151,7 +151,7 @@
 /// The key that decides the owner, with the service whose keys have owners; `None` if nothing
 /// depends on them.
 fn divided_key<'a>(
-    beliefs: &WorkerBeliefs,
+    beliefs: &WorkerState,
     planned: &'a IncomingRequest,
 ) -> Option<(&'a str, &'a u16)> {
     let divided = |part: &&WeightedService| beliefs.is_divided(&part.service);
--- a/crates/nickellead_gateway/src/worker/choose.rs
+++ b/crates/nickellead_gateway/src/worker/selection.rs
@@ -8,7 +8,7 @@
 use nickellead_limit::WaitQueue;
 use nickellead_time::BootClock;
 
-use super::{RequestWorker, TryState};
+use super::{AttemptState, RequestWorker};
 use crate::WeightedService;
 use crate::incoming::IncomingRequest;
 use crate::target_registry::RegisteredTarget;
@@ -32,7 +32,7 @@
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &TryState,
+        state: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         loop {
             let member = match self.look_for_room(planned, service, state).await? {
@@ -45,7 +45,7 @@
             let ahead = match divided {
                 true => turns.waiting(),
                 // The turns of all members come to the one queue.
-                false => turns.waiting() / self.subset_size(service),
+                false => turns.waiting() / self.part_size(service),
             };
             let left = self.time_for_turn(planned, &member, ahead).ok_or(ErrorKind::Overloaded)?;
             let mut turn = turns.join(planned.route.rule.priority);
@@ -62,7 +62,7 @@
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &TryState,
+        state: &AttemptState,
     ) -> Result<RoomLook, ErrorKind> {
         let mut chosen = self.choose_member(planned, service, state).await;
         while chosen.is_err() && self.beliefs.borrow().roster.is_empty() {
@@ -110,7 +110,7 @@
     }
 
     /// Members of a service that this VM sends to.
-    fn subset_size(&self, service: &str) -> usize {
+    fn part_size(&self, service: &str) -> usize {
         self.beliefs.borrow().roster.subset(service).len().max(1)
     }
 
@@ -136,7 +136,7 @@
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &TryState,
+        state: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         if self.beliefs.borrow().is_divided(service) {
             let key = planned.key.ok_or(ErrorKind::KeyMissing)?;
@@ -226,7 +226,7 @@
         planned: &IncomingRequest,
         service: &str,
         key: u16,
-        state: &TryState,
+        state: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         if self.policy.ownerless_refusal.is_on() && self.lacks_owner_for_long(service, key) {
             return Err(ErrorKind::MoveTooLong);
@@ -262,7 +262,7 @@
     }
 
     /// The settled owner of a key, unless it has just refused this request.
-    fn owner(&self, service: &str, key: u16, state: &TryState) -> Option<Rc<RegisteredTarget>> {
+    fn owner(&self, service: &str, key: u16, state: &AttemptState) -> Option<Rc<RegisteredTarget>> {
         let beliefs = self.beliefs.borrow();
         let range = beliefs.ranges.find(service, key).filter(|range| range.settled)?;
         let owner = range.owner.as_ref().filter(|owner| !state.misdirected.contains(&owner.id))?;
--- a/crates/nickellead_gateway/tests/ranges_history.rs
+++ b/crates/nickellead_gateway/tests/ranges_history.rs
@@ -5,7 +5,7 @@
 //! now, whichever VM it had the map from; these tests hold that it ends with the very same map.
 #![allow(clippy::unwrap_used)]
 
-use nickellead_gateway::{RangesHistory, RangesNews, RangesStep, Revision, StepsMisfit, Stored};
+use nickellead_gateway::{RangesHistory, RangesStep, RangesUpdate, Revision, StepsMisfit, Stored};
 use nickellead_range::{RangeMap, RangeRecord, TargetInstance};
 
 /// Ranges of the maps of these tests.
@@ -50,12 +50,12 @@
 /// The steps that a VM tells a reader with the map of this revision.
 fn steps(history: &RangesHistory, mark: u64) -> Vec<RangesStep> {
     let told = history.since(Revision::without_era(mark));
-    let Some(RangesNews::Steps(steps)) = told else { unreachable!("no steps: {told:?}") };
+    let Some(RangesUpdate::Steps(steps)) = told else { unreachable!("no steps: {told:?}") };
     steps
 }
 
-fn is_whole(news: Option<RangesNews>, revision: u64) -> bool {
-    news == Some(RangesNews::Whole(map(revision)))
+fn is_whole(news: Option<RangesUpdate>, revision: u64) -> bool {
+    news == Some(RangesUpdate::Whole(map(revision)))
 }
 
 #[test]
@@ -177,7 +177,7 @@
     let mut gaps = map(11);
     gaps.value.services.get_mut("keyed").unwrap().remove(3);
     assert!(teller.take_whole(gaps.clone()));
-    assert_eq!(teller.since(Revision::without_era(9)), Some(RangesNews::Whole(gaps)));
+    assert_eq!(teller.since(Revision::without_era(9)), Some(RangesUpdate::Whole(gaps)));
     assert!(teller.take_whole(map(12)));
     assert!(is_whole(teller.since(Revision::without_era(9)), 12));
 }
