--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -63,16 +63,16 @@
     parts.control_metrics.register(&mut registry);
     let registry = Rc::new(registry);
     let worker = RequestWorker::new(WorkerContext {
-        names: parts.names,
+        header_names: parts.names,
         vm: parts.vm,
         zone: parts.zone,
         retry_burst: parts.retry_burst,
-        keys: parts.keys,
+        load_counter: parts.keys,
         drain: Arc::clone(&parts.drain),
         metrics,
         policy: parts.policy,
-        cold: parts.cold,
-        leaving_stay: parts.leaving_window,
+        cold_settings: parts.cold,
+        leaving_grace: parts.leaving_window,
     });
     follow_beliefs(&worker, &parts.receivers);
     for listener in std::iter::once(parts.readiness).chain(parts.metrics) {
@@ -85,7 +85,7 @@
         async move {
             match stopping {
                 true => worker.refuse_stopping(&request),
-                false => worker.answer(request).await,
+                false => worker.handle(request).await,
             }
         }
     };
@@ -157,7 +157,7 @@
         }
     });
     let warmed = Rc::clone(worker);
-    actix_rt::spawn(async move { warmed.take_in_warmed().await });
+    actix_rt::spawn(async move { warmed.rebuild_when_targets_warm().await });
     let (updated, mut ranges) = (Rc::clone(worker), beliefs.ranges.clone());
     actix_rt::spawn(async move {
         while ranges.changed().await.is_ok() {
--- a/crates/nickellead_gateway/src/worker/attempts.rs
+++ b/crates/nickellead_gateway/src/worker/attempts.rs
@@ -1,4 +1,5 @@
-//! The loop of tries: a request goes on until an answer stands or no further try is allowed.
+//! The attempt loop: sends a request to targets until a response is accepted or no further attempt
+//! is allowed.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -7,136 +8,146 @@
 use nickellead_core::{ErrorKind, OutcomeClass};
 use nickellead_time::BootClock;
 
-use super::{AttemptState, NextStep, RETURN_TIME, RequestWorker};
+use super::{AttemptState, NextStep, RESPONSE_RETURN_RESERVE, RequestWorker};
 use crate::exchange::{AttemptEnd, AttemptPlan, TargetResponse, run_attempt};
 use crate::incoming::IncomingRequest;
 use crate::target_registry::{InFlightGuard, RegisteredTarget};
 
-/// Most tries that failed before anything was sent.
-const UNSENT_TRIES: u32 = 4;
+/// Maximum number of attempts that fail before anything is sent.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 impl RequestWorker {
-    /// Tries a request until an answer stands, or says why none does.
+    /// Serves a request with as many attempts as it needs and is allowed.
+    ///
+    /// # Errors The reason for the refusal when no attempt gave a response.
     pub(super) async fn serve(
         &self,
         planned: &IncomingRequest,
     ) -> Result<TargetResponse, ErrorKind> {
-        let part = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
-        self.note_request(planned, &part.service);
-        if !self.is_admitted(planned, &part.service) {
+        let segment = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
+        self.record_request(planned, &segment.service);
+        if !self.is_admitted(planned, &segment.service) {
             return Err(ErrorKind::Overloaded);
         }
-        let mut state = AttemptState::default();
+        let mut attempts = AttemptState::default();
         loop {
-            let waiting = self.wait_for_turn(planned, &part.service, &state);
-            let member = match self.until_last_moment(waiting).await.flatten() {
-                Ok(member) => member,
-                Err(kind) => return finish(state, kind),
+            let waiting = self.wait_for_target(planned, &segment.service, &attempts);
+            let target = match self.until_drain_end(waiting).await.flatten() {
+                Ok(target) => target,
+                Err(kind) => return finish(attempts, kind),
             };
             let since = Instant::now();
-            let trying = self.try_member(planned, &part.service, &member);
-            let end = match self.until_last_moment(trying).await {
+            let sending = self.attempt(planned, &segment.service, &target);
+            let end = match self.until_drain_end(sending).await {
                 Ok(end) => end,
                 Err(kind) => {
-                    state.may_have_run = true;
-                    return finish(state, kind);
+                    attempts.may_have_run = true;
+                    return finish(attempts, kind);
                 }
             };
-            self.note_signs(&part.service, &member, end.signals, end.sent_at);
-            match self.judge(planned, &member, &mut state, end, since.elapsed()) {
-                NextStep::Done(answer) => return Ok(answer),
-                NextStep::Fail(kind) => return finish(state, kind),
-                NextStep::Again => {}
+            self.apply_signals(&segment.service, &target, end.signals, end.sent_at);
+            match self.next_step(planned, &target, &mut attempts, end, since.elapsed()) {
+                NextStep::Done(response) => return Ok(response),
+                NextStep::Fail(kind) => return finish(attempts, kind),
+                NextStep::Retry => {}
             }
-            if self.owner_is_paused(&part.service, &member) {
-                return finish(state, ErrorKind::TargetPaused);
+            if self.owner_is_paused(&segment.service, &target) {
+                return finish(attempts, ErrorKind::TargetPaused);
             }
-            if !self.take_retry(planned, &part.service, &state) {
-                let kind = state.refusal();
-                return finish(state, kind);
+            if !self.take_retry_permit(planned, &segment.service, &attempts) {
+                let kind = attempts.refusal_kind();
+                return finish(attempts, kind);
             }
             self.metrics.retries.inc();
         }
     }
 
-    /// The outcome of `work`, unless the VM ends before.
-    async fn until_last_moment<T>(&self, work: impl Future<Output = T>) -> Result<T, ErrorKind> {
+    /// Runs `work` until it completes or the VM's drain period ends.
+    async fn until_drain_end<T>(&self, work: impl Future<Output = T>) -> Result<T, ErrorKind> {
         tokio::select! {
-            // The end of one request makes room for another one, which must not begin then.
+            // A request that ends frees capacity. The queued request that gets it must not start
+            // once the drain period has ended.
             biased;
             () = self.drain.wait_for_deadline() => Err(ErrorKind::Stopping),
             done = work => Ok(done),
         }
     }
 
-    /// Counts a request for the share of further tries, and its key for the spread of load.
-    fn note_request(&self, planned: &IncomingRequest, service: &str) {
-        self.retries.borrow_mut().record_request(service);
+    /// Adds a request to the retry budget and to the load of its key.
+    fn record_request(&self, planned: &IncomingRequest, service: &str) {
+        self.retry_budget.borrow_mut().record_request(service);
         if let Some(key) = planned.key
-            && self.beliefs.borrow().is_divided(service)
+            && self.state.borrow().is_divided(service)
         {
-            self.keys.record_request(service, key);
+            self.load_counter.record_request(service, key);
         }
     }
 
-    /// Whether a request may go to the owner of its key, of which all VMs together send too much.
+    /// Whether a request may go to the owner of its key while the VMs together overload that owner.
     ///
-    /// Drawn at random, so that the VMs need not know of each other's requests.
+    /// The decision is random, so that VMs need not coordinate.
     fn is_admitted(&self, planned: &IncomingRequest, service: &str) -> bool {
         let Some(key) = planned.key.filter(|_| self.policy.shared_admission.is_on()) else {
             return true;
         };
-        let share = self.beliefs.borrow().admissions.fraction(service, key);
-        share >= 1.0 || self.rng.borrow_mut().f64() < share
+        let admitted_fraction = self.state.borrow().admissions.fraction(service, key);
+        admitted_fraction >= 1.0 || self.rng.borrow_mut().f64() < admitted_fraction
     }
 
-    /// Whether one more try is allowed; if so, it is taken from the service's share of them.
-    fn take_retry(&self, planned: &IncomingRequest, service: &str, state: &AttemptState) -> bool {
-        let within = state.sent < planned.route.rule.attempts && state.unsent < UNSENT_TRIES;
-        if !within || planned.remaining() < RETURN_TIME * 2 {
+    /// Whether one more attempt is allowed. If so, charges it to the service's retry budget.
+    fn take_retry_permit(
+        &self,
+        planned: &IncomingRequest,
+        service: &str,
+        attempts: &AttemptState,
+    ) -> bool {
+        let within =
+            attempts.sent < planned.route.rule.attempts && attempts.unsent < MAX_UNSENT_ATTEMPTS;
+        if !within || planned.remaining() < RESPONSE_RETURN_RESERVE * 2 {
             return false;
         }
-        // Only tries that reached a target add to the load that the share bounds.
-        state.sent == 0
-            || self.policy.retries.is_on() && self.retries.borrow_mut().try_take(service)
+        // Attempts that were not sent add no load to targets.
+        attempts.sent == 0
+            || self.policy.retries.is_on() && self.retry_budget.borrow_mut().try_take(service)
     }
 
-    /// Tries a request at one target, which counts it as running meanwhile.
-    async fn try_member(
+    /// Sends a request to one target, which counts it as running meanwhile.
+    async fn attempt(
         &self,
         planned: &IncomingRequest,
         service: &str,
-        member: &Rc<RegisteredTarget>,
+        target: &Rc<RegisteredTarget>,
     ) -> AttemptEnd {
-        let _running = InFlightGuard::new(member, &self.queue(service));
-        let until = planned.deadline.checked_sub(RETURN_TIME).unwrap_or(planned.deadline);
+        let _running = InFlightGuard::new(target, &self.queue(service));
+        let until =
+            planned.deadline.checked_sub(RESPONSE_RETURN_RESERVE).unwrap_or(planned.deadline);
         let plan = AttemptPlan {
-            target: member,
+            target,
             repeat: planned.route.rule.repeat,
-            leaving_window: self.leaving_stay,
+            leaving_window: self.leaving_grace,
             deadline: until,
         };
-        let watch = AbandonWatch { member, since: Instant::now(), armed: true };
-        let goal = planned.route.rule.latency_target;
-        let mut trying = std::pin::pin!(run_attempt(&self.names, &planned.outgoing, &plan));
-        let end = match tokio::time::timeout(goal, &mut trying).await {
+        let guard = AbandonGuard { target, since: Instant::now(), armed: true };
+        let latency_target = planned.route.rule.latency_target;
+        let mut sending = std::pin::pin!(run_attempt(&self.header_names, &planned.outgoing, &plan));
+        let end = match tokio::time::timeout(latency_target, &mut sending).await {
             Ok(end) => end,
             Err(_) => {
-                // A target that swallows requests is known by their age, long before their end.
+                // Detects a target that accepts requests without responding before they time out.
                 if self.policy.answer_time_limit.is_on() {
-                    member.record_overdue(goal, BootClock.now());
+                    target.record_overdue(latency_target, BootClock.now());
                 }
-                trying.await
+                sending.await
             }
         };
-        watch.disarm();
+        guard.disarm();
         end
     }
 }
 
 impl AttemptState {
-    /// Why no further try is made, told by the last one.
-    fn refusal(&self) -> ErrorKind {
+    /// The reason for the refusal when no further attempt is allowed.
+    fn refusal_kind(&self) -> ErrorKind {
         let last = self.tried.last();
         match self.sent {
             0 => ErrorKind::TargetUnreachable,
@@ -146,34 +157,35 @@
     }
 }
 
-/// Ends a request that has no answer: a target's own failure goes before ours.
-fn finish(state: AttemptState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
-    if let Some(answer) = state.answer {
-        return Ok(answer);
+/// Ends a request without a successful response: with an error response of a target if there is
+/// one, and otherwise with `kind`.
+fn finish(attempts: AttemptState, kind: ErrorKind) -> Result<TargetResponse, ErrorKind> {
+    if let Some(response) = attempts.response {
+        return Ok(response);
     }
     let refused = kind.response().outcome == OutcomeClass::NotRun;
-    // "Not run" is said only when no target may have run it.
-    Err(if refused && state.may_have_run { ErrorKind::AnswerLost } else { kind })
+    // `NotRun` is reported only when no target may have run the request.
+    Err(if refused && attempts.may_have_run { ErrorKind::AnswerLost } else { kind })
 }
 
-/// Learns from a try that ended because its caller left.
-struct AbandonWatch<'a> {
-    member: &'a Rc<RegisteredTarget>,
+/// Records an attempt as abandoned if it is dropped before it ends, as when the caller disconnects.
+struct AbandonGuard<'a> {
+    target: &'a Rc<RegisteredTarget>,
     since: Instant,
     armed: bool,
 }
 
-impl AbandonWatch<'_> {
+impl AbandonGuard<'_> {
     fn disarm(mut self) {
         self.armed = false;
     }
 }
 
-impl Drop for AbandonWatch<'_> {
+impl Drop for AbandonGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
             let outcome = TargetOutcome::Abandoned(self.since.elapsed());
-            self.member.record_outcome(outcome, BootClock.now());
+            self.target.record_outcome(outcome, BootClock.now());
         }
     }
 }
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -1,12 +1,10 @@
 //! The request path of one VM.
 //!
-//! A request is read and given a route; then, until an answer stands: a target
-//! is chosen, the request is tried there, and the outcome decides whether it
-//! may be tried once more.
+//! A request is read and matched to a route. Then the worker selects a target and sends the request
+//! there, until a response is accepted or no further attempt is allowed.
 //!
-//! This module holds what the path believes and takes a request in. `attempts` is
-//! the loop, `selection` finds a target with room, `outcome` learns from a try, and
-//! `responses` builds what the caller gets.
+//! This module holds the worker and its cached state. `attempts` is the attempt loop, `selection`
+//! selects targets, `outcome` evaluates attempts, and `responses` builds what the caller receives.
 
 mod attempts;
 mod outcome;
@@ -29,7 +27,7 @@
 use nickellead_time::BootClock;
 use tokio::sync::Notify;
 
-use self::responses::pass_on;
+use self::responses::forward_response;
 use crate::admission::{AdmissionTable, CachedAdmission};
 use crate::drain::DrainState;
 use crate::evacuation::ZoneStates;
@@ -47,43 +45,41 @@
     ServiceRule, TargetList,
 };
 
-/// Kept of the caller's time for the way back of an answer.
-const RETURN_TIME: Duration = Duration::from_millis(4);
-/// How long a request waits for a VM's first declarations: a VM that has just started learns them
-/// within this time, unless the store is away, and then another VM is the better one to ask.
-///
-/// Of 295 VMs with a tenth of a core that started at once, half knew them after 0.24 s and the last one
-/// after 0.33 s; their requests are read a little later than they come.
-const START_WAIT: Duration = Duration::from_millis(500);
-/// Part of the caller's time that it waits for them at most: it must be able to ask another VM.
-const START_WAIT_PART: u32 = 2;
+/// Part of the caller's deadline that is reserved for returning the response.
+const RESPONSE_RETURN_RESERVE: Duration = Duration::from_millis(4);
+/// Maximum time that a request waits for the first declarations of a VM that has just started. If
+/// the store is unavailable they take longer, and the caller should try another VM.
+const MAX_FIRST_DECLARATIONS_WAIT: Duration = Duration::from_millis(500);
+/// The wait for the first declarations also ends after the caller's deadline divided by this, which
+/// leaves the caller time to try another VM.
+const FIRST_DECLARATIONS_DEADLINE_DIVISOR: u32 = 2;
 
-/// What the request path believes; parts are replaced whole.
+/// The request path's cached copy of the cluster state. Each field is replaced as a whole.
 struct WorkerState {
     /// Version of the declarations; `None` before the first ones.
     version: Option<u64>,
     services: BTreeMap<String, ServiceRule>,
-    list: Arc<TargetList>,
+    target_list: Arc<TargetList>,
     fleet: Arc<FleetTable>,
     zones: ZoneStates,
     limits: CallerLimits,
-    table: Rc<RouteTable>,
-    roster: TargetRegistry,
+    routes: Rc<RouteTable>,
+    registry: TargetRegistry,
     ranges: Arc<RangeMap>,
     admissions: CachedAdmission,
-    taken: BeliefTimes,
+    updated: StateTimes,
 }
 
 impl WorkerState {
-    /// Makes the roster anew of what is believed now.
-    fn rebuild_roster(&mut self, bounds: Option<ColdSettings>) {
+    /// Rebuilds the registry from the current state; `cold` bounds what cold targets are sent.
+    fn rebuild_registry(&mut self, cold: Option<ColdSettings>) {
         let rules = RegistryRules {
             services: &self.services,
-            cold_settings: bounds,
+            cold_settings: cold,
             fleet: &self.fleet,
             zones: &self.zones,
         };
-        self.roster = self.roster.rebuild(&self.list, &rules);
+        self.registry = self.registry.rebuild(&self.target_list, &rules);
     }
 
     /// Whether each key of a service has one owner.
@@ -92,196 +88,197 @@
     }
 }
 
-/// When each belief was taken over, for logs.
+/// When parts of the state were last updated, for the log.
 #[derive(Clone, Copy)]
-struct BeliefTimes {
+struct StateTimes {
     declarations: Instant,
     targets: Instant,
     ranges: Instant,
 }
 
-/// What the request path is built from.
+/// Settings and shared dependencies of the request path.
 pub(crate) struct WorkerContext {
-    pub(crate) names: HeaderNames,
+    pub(crate) header_names: HeaderNames,
     pub(crate) vm: String,
     pub(crate) zone: String,
     pub(crate) retry_burst: f64,
-    pub(crate) keys: LoadCounter,
+    pub(crate) load_counter: LoadCounter,
     pub(crate) drain: Arc<DrainState>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) policy: PolicySettings,
-    pub(crate) cold: Option<ColdSettings>,
-    pub(crate) leaving_stay: Duration,
+    pub(crate) cold_settings: Option<ColdSettings>,
+    pub(crate) leaving_grace: Duration,
 }
 
 /// The request path of one VM.
 pub(crate) struct RequestWorker {
-    names: HeaderNames,
+    header_names: HeaderNames,
     zone: String,
-    beliefs: RefCell<WorkerState>,
-    /// Woken by every new belief.
+    state: RefCell<WorkerState>,
+    /// Notified when the state changes.
     changed: Notify,
-    retries: RefCell<RetryBudget>,
+    retry_budget: RefCell<RetryBudget>,
     rng: RefCell<fastrand::Rng>,
-    keys: LoadCounter,
-    /// Requests that wait for any target of a service.
+    load_counter: LoadCounter,
+    /// Wait queues of services, for requests that any target of the service can take.
     queues: RefCell<HashMap<String, Rc<WaitQueue>>>,
-    reach: ZoneReachability,
-    /// Ranges that nobody could be asked for, by fence, and since when.
-    ownerless: RefCell<HashMap<u64, Instant>>,
+    reachability: ZoneReachability,
+    /// When ranges were first seen without a usable owner, by fence.
+    ownerless_since: RefCell<HashMap<u64, Instant>>,
     drain: Arc<DrainState>,
     metrics: GatewayMetrics,
     policy: PolicySettings,
-    /// What all VMs together may send a cold target.
-    cold: Option<ColdSettings>,
-    /// For how long a target that said that it leaves is sent what nobody else can serve.
-    leaving_stay: Duration,
+    /// Bounds on what all VMs together send to a cold target.
+    cold_settings: Option<ColdSettings>,
+    /// How long an owner that announced that it leaves still receives the requests for its keys.
+    leaving_grace: Duration,
 }
 
-/// What is known of a request between its tries.
+/// State of a request across its attempts.
 #[derive(Default)]
 struct AttemptState {
-    /// Tries that reached a target.
+    /// Attempts that reached a target.
     sent: u32,
-    /// Tries that failed before anything was sent.
+    /// Attempts that failed before anything was sent.
     unsent: u32,
-    /// Targets tried already.
+    /// Targets of earlier attempts.
     tried: Vec<String>,
-    /// Targets that said that they do not own the key.
+    /// Targets that reported that they do not own the key.
     misdirected: Vec<String>,
     /// Whether a target may have run the request.
     may_have_run: bool,
-    /// A failure that a target answered, to be passed on if nothing better comes.
-    answer: Option<TargetResponse>,
+    /// An error response of a target, returned if no later attempt succeeds.
+    response: Option<TargetResponse>,
 }
 
-/// What follows a try.
+/// The next step after an attempt.
 enum NextStep {
     Done(TargetResponse),
-    Again,
+    Retry,
     Fail(ErrorKind),
 }
 
 impl RequestWorker {
-    pub(crate) fn new(parts: WorkerContext) -> Rc<Self> {
+    pub(crate) fn new(context: WorkerContext) -> Rc<Self> {
         let started = Instant::now();
-        let beliefs = WorkerState {
+        let state = WorkerState {
             version: None,
             services: BTreeMap::new(),
-            list: Arc::default(),
+            target_list: Arc::default(),
             fleet: Arc::default(),
             zones: ZoneStates::default(),
             limits: CallerLimits::default(),
-            table: Rc::default(),
-            roster: TargetRegistry::new(parts.vm, parts.zone.clone()),
+            routes: Rc::default(),
+            registry: TargetRegistry::new(context.vm, context.zone.clone()),
             ranges: Arc::default(),
             admissions: CachedAdmission::new(Arc::default()),
-            taken: BeliefTimes { declarations: started, targets: started, ranges: started },
+            updated: StateTimes { declarations: started, targets: started, ranges: started },
         };
         Rc::new(Self {
-            names: parts.names,
-            zone: parts.zone,
-            beliefs: RefCell::new(beliefs),
+            header_names: context.header_names,
+            zone: context.zone,
+            state: RefCell::new(state),
             changed: Notify::new(),
-            retries: RefCell::new(RetryBudget::new(parts.retry_burst)),
+            retry_budget: RefCell::new(RetryBudget::new(context.retry_burst)),
             rng: RefCell::new(fastrand::Rng::new()),
-            keys: parts.keys,
+            load_counter: context.load_counter,
             queues: RefCell::default(),
-            reach: ZoneReachability::default(),
-            ownerless: RefCell::default(),
-            drain: parts.drain,
-            metrics: parts.metrics,
-            policy: parts.policy,
-            cold: parts.cold,
-            leaving_stay: parts.leaving_stay,
+            reachability: ZoneReachability::default(),
+            ownerless_since: RefCell::default(),
+            drain: context.drain,
+            metrics: context.metrics,
+            policy: context.policy,
+            cold_settings: context.cold_settings,
+            leaving_grace: context.leaving_grace,
         })
     }
 
-    /// Takes over newer declarations; older ones are ignored.
+    /// Applies newer declarations; older ones are ignored.
     pub(crate) fn set_declarations(&self, declarations: &Declarations) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        if beliefs.version.is_some_and(|known| known >= declarations.version) {
+        let mut state = self.state.borrow_mut();
+        if state.version.is_some_and(|known| known >= declarations.version) {
             return;
         }
         let started = Instant::now();
-        beliefs.table = Rc::new(RouteTable::build(declarations, &beliefs.table));
+        state.routes = Rc::new(RouteTable::build(declarations, &state.routes));
         log_built(declarations, started.elapsed());
-        if beliefs.services != declarations.services {
-            beliefs.services.clone_from(&declarations.services);
-            beliefs.rebuild_roster(self.cold);
+        if state.services != declarations.services {
+            state.services.clone_from(&declarations.services);
+            state.rebuild_registry(self.cold_settings);
         }
-        beliefs.limits = declarations.limits;
-        beliefs.version = Some(declarations.version);
-        beliefs.taken.declarations = Instant::now();
+        state.limits = declarations.limits;
+        state.version = Some(declarations.version);
+        state.updated.declarations = Instant::now();
         self.changed.notify_waiters();
     }
 
-    /// Takes over the list of targets.
+    /// Replaces the list of targets.
     pub(crate) fn set_targets(&self, list: Arc<TargetList>) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.list = list;
-        beliefs.rebuild_roster(self.cold);
-        beliefs.taken.targets = Instant::now();
+        let mut state = self.state.borrow_mut();
+        state.target_list = list;
+        state.rebuild_registry(self.cold_settings);
+        state.updated.targets = Instant::now();
         self.changed.notify_waiters();
     }
 
-    /// Takes over which availability zones are evacuated.
+    /// Replaces the evacuated availability zones.
     pub(crate) fn set_evacuations(&self, zones: &EvacuatedZones) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.zones.update(zones, BootClock.now());
-        beliefs.rebuild_roster(self.cold);
+        let mut state = self.state.borrow_mut();
+        state.zones.update(zones, BootClock.now());
+        state.rebuild_registry(self.cold_settings);
         self.changed.notify_waiters();
     }
 
-    /// Takes over which VMs take requests.
+    /// Replaces the VMs that take requests.
     pub(crate) fn set_fleet(&self, fleet: Arc<FleetTable>) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.fleet = fleet;
-        beliefs.rebuild_roster(self.cold);
+        let mut state = self.state.borrow_mut();
+        state.fleet = fleet;
+        state.rebuild_registry(self.cold_settings);
     }
 
-    /// Takes targets into this VM's part of their services as they get warm.
-    pub(crate) async fn take_in_warmed(&self) {
+    /// Rebuilds the registry each time a cold target becomes warm, so that it may join this VM's
+    /// subset.
+    pub(crate) async fn rebuild_when_targets_warm(&self) {
         loop {
-            let next = || self.beliefs.borrow().roster.next_warm(BootClock.now());
+            let next = || self.state.borrow().registry.next_warm(BootClock.now());
             let warm = wait_for(&self.changed, next).await;
             tokio::time::sleep(warm.since(BootClock.now())).await;
-            self.beliefs.borrow_mut().rebuild_roster(self.cold);
+            self.state.borrow_mut().rebuild_registry(self.cold_settings);
         }
     }
 
-    /// Takes over the map of ranges.
+    /// Replaces the map of ranges.
     pub(crate) fn set_ranges(&self, ranges: Arc<RangeMap>) {
         {
             let fences: HashSet<u64> = ranges.fences().collect();
-            self.ownerless.borrow_mut().retain(|fence, _| fences.contains(fence));
-            let mut beliefs = self.beliefs.borrow_mut();
-            beliefs.ranges = ranges;
-            beliefs.taken.ranges = Instant::now();
+            self.ownerless_since.borrow_mut().retain(|fence, _| fences.contains(fence));
+            let mut state = self.state.borrow_mut();
+            state.ranges = ranges;
+            state.updated.ranges = Instant::now();
         }
         self.changed.notify_waiters();
     }
 
-    /// Takes over the holder's word about crowded owners and targets that name limits.
+    /// Replaces the mandate holder's limits on overloaded owners and targets.
     pub(crate) fn set_admissions(&self, admissions: Arc<AdmissionTable>) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.roster.set_reported_limits(&admissions);
-        beliefs.admissions = CachedAdmission::new(admissions);
+        let mut state = self.state.borrow_mut();
+        state.registry.set_reported_limits(&admissions);
+        state.admissions = CachedAdmission::new(admissions);
     }
 
-    /// Answers one request of a caller.
-    pub(crate) async fn answer(&self, request: Request) -> Response<BoxBody> {
+    /// Handles one request of a caller.
+    pub(crate) async fn handle(&self, request: Request) -> Response<BoxBody> {
         self.metrics.requests.inc();
         let id = self.request_id(&request);
-        let known = self.beliefs.borrow().version.is_some();
+        let known = self.state.borrow().version.is_some();
         if !known && !self.wait_for_declarations(&request).await {
             return self.refuse(ErrorKind::NotConfigured, &id, None);
         }
-        let (table, limits) = {
-            let beliefs = self.beliefs.borrow();
-            (Rc::clone(&beliefs.table), beliefs.limits)
+        let (routes, limits) = {
+            let state = self.state.borrow();
+            (Rc::clone(&state.routes), state.limits)
         };
-        let planned = match read_request(request, &self.names, limits, &table).await {
+        let planned = match read_request(request, &self.header_names, limits, &routes).await {
             Ok(planned) if self.policy.caller_age.is_on() => planned,
             Ok(planned) => IncomingRequest { caller_age: Duration::ZERO, ..planned },
             Err(kind) => return self.refuse_unread(kind, &id),
@@ -290,38 +287,40 @@
             return self.refuse(ErrorKind::Stopping, &id, Some(&planned));
         }
         match self.serve(&planned).await {
-            Ok(answer) => {
+            Ok(response) => {
                 self.metrics.record_response(planned.main_service(), planned.arrived_at.elapsed());
-                self.log_sample(&id, &planned, &answer);
-                pass_on(answer)
+                self.log_sample(&id, &planned, &response);
+                forward_response(response)
             }
             Err(kind) => self.refuse(kind, &id, Some(&planned)),
         }
     }
 
-    /// Waits a little for the first declarations of a VM that has just started.
+    /// Waits for the first declarations of a VM that has just started; `false` on timeout.
     async fn wait_for_declarations(&self, request: &Request) -> bool {
-        let deadline = request.headers().get(self.names.deadline_ms);
+        let deadline = request.headers().get(self.header_names.deadline_ms);
         let deadline = deadline.and_then(|value| value.to_str().ok()?.parse().ok());
-        let wait = START_WAIT.min(Duration::from_millis(deadline.unwrap_or(0)) / START_WAIT_PART);
-        let waiting = wait_for(&self.changed, || self.beliefs.borrow().version);
+        let wait = MAX_FIRST_DECLARATIONS_WAIT.min(
+            Duration::from_millis(deadline.unwrap_or(0)) / FIRST_DECLARATIONS_DEADLINE_DIVISOR,
+        );
+        let waiting = wait_for(&self.changed, || self.state.borrow().version);
         tokio::time::timeout(wait, waiting).await.is_ok()
     }
 
-    /// Brings the figures up to date that are read from what the worker believes.
+    /// Updates the gauges that are derived from the cached state.
     pub(crate) fn refresh_gauges(&self) {
-        let beliefs = self.beliefs.borrow();
+        let state = self.state.borrow();
         let metrics = &self.metrics;
-        let opened = i64::try_from(beliefs.roster.opened()).unwrap_or(i64::MAX);
+        let opened = i64::try_from(state.registry.opened()).unwrap_or(i64::MAX);
         metrics.connections.set(opened);
-        let signs = beliefs.roster.count_signals(BootClock.now());
-        metrics.leaving.set(signs.leaving);
-        metrics.paused.set(signs.paused);
-        metrics.limited.set(signs.limited);
-        let version = beliefs.version.unwrap_or_default();
+        let signals = state.registry.count_signals(BootClock.now());
+        metrics.leaving.set(signals.leaving);
+        metrics.paused.set(signals.paused);
+        metrics.limited.set(signals.limited);
+        let version = state.version.unwrap_or_default();
         metrics.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-        metrics.config_age.set(beliefs.taken.declarations.elapsed().as_secs_f64());
-        metrics.targets_age.set(beliefs.taken.targets.elapsed().as_secs_f64());
+        metrics.config_age.set(state.updated.declarations.elapsed().as_secs_f64());
+        metrics.targets_age.set(state.updated.targets.elapsed().as_secs_f64());
     }
 }
 
--- a/crates/nickellead_gateway/src/worker/outcome.rs
+++ b/crates/nickellead_gateway/src/worker/outcome.rs
@@ -1,4 +1,4 @@
-//! Learning from the outcome of a try, and deciding what follows.
+//! Records the outcome of an attempt and decides the next step.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,180 +16,197 @@
 use crate::response_signals::ResponseSignals;
 use crate::target_registry::RegisteredTarget;
 
-/// VMs that were asked for a pause at the same moment come back spread over this part of it.
-const PAUSE_SPREAD: f64 = 0.1;
+/// Jitter added to a requested pause, as a fraction of the pause. It keeps VMs that were asked
+/// together from resuming together.
+const PAUSE_JITTER_FRACTION: f64 = 0.1;
 
 impl RequestWorker {
-    /// Learns from the outcome of a try and says what follows.
-    pub(super) fn judge(
+    /// Records the outcome of an attempt and returns the next step.
+    pub(super) fn next_step(
         &self,
         planned: &IncomingRequest,
-        member: &Rc<RegisteredTarget>,
-        state: &mut AttemptState,
+        target: &Rc<RegisteredTarget>,
+        attempts: &mut AttemptState,
         end: AttemptEnd,
-        length: Duration,
+        latency: Duration,
     ) -> NextStep {
-        let AttemptEnd { result, signals: signs, .. } = end;
-        self.learn(planned, member, &result, signs, length);
-        count_try(state, member, &result);
+        let (result, signals) = (end.result, end.signals);
+        self.record_outcome(planned, target, &result, signals, latency);
+        count_attempt(attempts, target, &result);
         if let Some(reason) = retry_reason(&result) {
-            log_retry(planned, member, reason);
+            log_retry(planned, target, reason);
         }
         match result {
-            AttemptResult::Responded(answer) if answer.status.is_server_error() => {
-                after_failure(planned, state, answer)
+            AttemptResult::Responded(response) if response.status.is_server_error() => {
+                after_failure(planned, attempts, response)
             }
-            AttemptResult::Responded(answer) => NextStep::Done(answer),
+            AttemptResult::Responded(response) => NextStep::Done(response),
             AttemptResult::Shed
             | AttemptResult::Misdirected
             | AttemptResult::NotSent(_)
-            | AttemptResult::Withheld => NextStep::Again,
+            | AttemptResult::Withheld => NextStep::Retry,
             AttemptResult::Lost(reason) => after_loss(planned, reason),
         }
     }
 
-    /// Learns what the outcome of a try says of the target.
-    fn learn(
+    /// Updates the health, latency and limit of the target.
+    fn record_outcome(
         &self,
         planned: &IncomingRequest,
-        member: &RegisteredTarget,
+        target: &RegisteredTarget,
         result: &AttemptResult,
-        signs: ResponseSignals,
-        length: Duration,
+        signals: ResponseSignals,
+        latency: Duration,
     ) {
-        let goal = match self.policy.answer_time_limit.is_on() {
+        let latency_target = match self.policy.answer_time_limit.is_on() {
             true => planned.route.rule.latency_target,
             false => Duration::MAX,
         };
         let now = BootClock.now();
-        self.learn_reach(member, result, now);
+        self.record_reachability(target, result, now);
         match result {
-            AttemptResult::Responded(answer) if answer.status.is_server_error() => {
-                member.record_outcome(TargetOutcome::Failed, now);
+            AttemptResult::Responded(response) if response.status.is_server_error() => {
+                target.record_outcome(TargetOutcome::Failed, now);
             }
             AttemptResult::Responded(_) => {
-                self.keys.record_response(&member.id, length, planned.route.rule.latency_target);
-                note_answer(member, length, goal, now);
+                self.load_counter.record_response(
+                    &target.id,
+                    latency,
+                    planned.route.rule.latency_target,
+                );
+                record_response(target, latency, latency_target, now);
             }
             AttemptResult::Shed => {
-                self.keys.record_lost(&member.id);
-                member.record_refusal();
-                // A pause has its own end, and says nothing of the target's health.
-                if signs.pause.is_none() {
-                    member.record_outcome(TargetOutcome::Shed, now);
+                self.load_counter.record_lost(&target.id);
+                target.record_refusal();
+                // A pause ends by itself and says nothing about the target's health.
+                if signals.pause.is_none() {
+                    target.record_outcome(TargetOutcome::Shed, now);
                 }
             }
-            // Its beliefs about keys differ, which says nothing of its health.
+            // A different view of key ownership says nothing about health.
             AttemptResult::Misdirected | AttemptResult::Withheld => {}
             AttemptResult::NotSent(failure) => {
                 if *failure == ConnectFailure::Refused {
-                    self.beliefs.borrow().roster.mark_down(member, now);
+                    self.state.borrow().registry.mark_down(target, now);
                 }
-                member.record_outcome(TargetOutcome::NoResponse, now);
+                target.record_outcome(TargetOutcome::NoResponse, now);
             }
             AttemptResult::Lost(_) => {
-                self.keys.record_lost(&member.id);
-                member.record_refusal();
-                member.record_outcome(TargetOutcome::NoResponse, now);
+                self.load_counter.record_lost(&target.id);
+                target.record_refusal();
+                target.record_outcome(TargetOutcome::NoResponse, now);
             }
         }
     }
 }
 
 impl RequestWorker {
-    /// Takes in what a target told of itself on an answer.
+    /// Applies the signals on a response to what is known of its target.
     ///
-    /// `sent` is when the answered request was sent.
-    pub(super) fn note_signs(
+    /// `sent` is when the request of this response was sent.
+    pub(super) fn apply_signals(
         &self,
         service: &str,
-        member: &RegisteredTarget,
-        signs: ResponseSignals,
+        target: &RegisteredTarget,
+        signals: ResponseSignals,
         sent: Timestamp,
     ) {
-        self.metrics.count_signals(signs);
+        self.metrics.count_signals(signals);
         let now = BootClock.now();
-        let mut known = member.signals.get();
-        let mut new = false;
-        if signs.leaving {
-            // Told on each answer, as the holder that was told before may be gone.
-            self.keys.record_leaving(member.instance());
+        let mut known = target.signals.get();
+        let mut changed = false;
+        if signals.leaving {
+            // Reported with each response, because the mandate holder that received the earlier
+            // reports may be gone.
+            self.load_counter.record_leaving(target.instance());
             if known.observe_leaving(now) {
-                new = true;
-                log_event(EventName::TargetLeaving, &[("target", &member.id)]);
+                changed = true;
+                log_event(EventName::TargetLeaving, &[("target", &target.id)]);
             }
         }
-        if let Some(pause) = signs.pause {
-            self.keys.record_pause(&member.id, pause);
-            let spread = 1.0 + self.rng.borrow_mut().f64() * PAUSE_SPREAD;
-            if known.observe_pause(pause.mul_f64(spread), now) {
-                new = true;
-                log_pause(member, pause);
+        if let Some(pause) = signals.pause {
+            self.load_counter.record_pause(&target.id, pause);
+            let jitter = 1.0 + self.rng.borrow_mut().f64() * PAUSE_JITTER_FRACTION;
+            if known.observe_pause(pause.mul_f64(jitter), now) {
+                changed = true;
+                log_pause(target, pause);
             }
         }
-        if let Some(limit) = signs.limit.reported() {
-            if limit.is_some() || member.may_be_limited() {
-                // Told on each answer, as the holder that was told before may be gone.
-                self.keys.record_limit(member.instance(), limit);
+        if let Some(limit) = signals.limit.reported() {
+            if limit.is_some() || target.may_be_limited() {
+                // Reported with each response, because the mandate holder that received the earlier
+                // reports may be gone.
+                self.load_counter.record_limit(target.instance(), limit);
             }
             if known.observe_limit(limit, sent, now) {
-                new = true;
-                log_limit(member, limit);
+                changed = true;
+                log_limit(target, limit);
             }
         }
-        member.signals.set(known);
-        if new {
-            // Who waits for a turn there looks for another target, or is refused at once.
-            member.wait_queue.wake_all();
+        target.signals.set(known);
+        if changed {
+            // Requests that wait for this target select another one or are refused at once.
+            target.wait_queue.wake_all();
             self.queue(service).wake_all();
         }
     }
 
-    /// Learns whether the target's zone can be reached.
-    fn learn_reach(&self, member: &RegisteredTarget, result: &AttemptResult, now: Timestamp) {
+    /// Updates whether the target's availability zone is reachable.
+    fn record_reachability(
+        &self,
+        target: &RegisteredTarget,
+        result: &AttemptResult,
+        now: Timestamp,
+    ) {
         match result {
             AttemptResult::NotSent(ConnectFailure::TimedOut) => {
-                self.reach.record_connect_timeout(&member.zone, &member.id, now);
+                self.reachability.record_connect_timeout(&target.zone, &target.id, now);
             }
             AttemptResult::Responded(_) | AttemptResult::Shed | AttemptResult::Misdirected => {
-                self.reach.record_response(&member.zone);
+                self.reachability.record_response(&target.zone);
             }
             AttemptResult::NotSent(_) | AttemptResult::Withheld | AttemptResult::Lost(_) => {}
         }
     }
 }
 
-/// Learns from an answer: how fast the target is, and that it may take more.
-fn note_answer(member: &RegisteredTarget, length: Duration, goal: Duration, now: Timestamp) {
-    // The try itself has ended and is counted no more.
-    let running = member.score.borrow().in_flight + 1;
-    member.record_outcome(TargetOutcome::Responded(length), now);
-    member.record_latency(running, length, goal, now);
+/// Records the latency of a response, and that the target may have capacity for more requests.
+fn record_response(
+    target: &RegisteredTarget,
+    latency: Duration,
+    latency_target: Duration,
+    now: Timestamp,
+) {
+    // The attempt itself is no longer counted as running.
+    let running = target.score.borrow().in_flight + 1;
+    target.record_outcome(TargetOutcome::Responded(latency), now);
+    target.record_latency(running, latency, latency_target, now);
 }
 
-/// Counts a try that may be followed by another one; the request ends with a good answer.
-fn count_try(state: &mut AttemptState, member: &RegisteredTarget, result: &AttemptResult) {
-    state.tried.push(member.id.clone());
+/// Adds an attempt to the state that decides about further attempts.
+fn count_attempt(attempts: &mut AttemptState, target: &RegisteredTarget, result: &AttemptResult) {
+    attempts.tried.push(target.id.clone());
     match result {
-        AttemptResult::Responded(answer) if answer.status.is_server_error() => {
-            state.sent += 1;
-            state.may_have_run = true;
+        AttemptResult::Responded(response) if response.status.is_server_error() => {
+            attempts.sent += 1;
+            attempts.may_have_run = true;
         }
         AttemptResult::Responded(_) => {}
-        AttemptResult::Shed => state.sent += 1,
+        AttemptResult::Shed => attempts.sent += 1,
         AttemptResult::Misdirected => {
-            state.misdirected.push(member.id.clone());
-            state.sent += 1;
+            attempts.misdirected.push(target.id.clone());
+            attempts.sent += 1;
         }
-        AttemptResult::NotSent(_) | AttemptResult::Withheld => state.unsent += 1,
+        AttemptResult::NotSent(_) | AttemptResult::Withheld => attempts.unsent += 1,
         AttemptResult::Lost(_) => {
-            state.sent += 1;
-            state.may_have_run = true;
+            attempts.sent += 1;
+            attempts.may_have_run = true;
         }
     }
 }
 
-/// Why a try gave no answer, in the words of the log.
+/// The log text for why an attempt gave no response.
 fn retry_reason(result: &AttemptResult) -> Option<&'static str> {
     match result {
         AttemptResult::Responded(_) => None,
@@ -202,27 +219,27 @@
 }
 
 /// Whether the request may run more than once.
-fn is_safe(planned: &IncomingRequest) -> bool {
+fn is_repeatable(planned: &IncomingRequest) -> bool {
     planned.route.rule.repeat == RepeatClass::Safe
 }
 
-/// What follows a failure that the target itself reported.
+/// The next step after a target responded with a server error.
 fn after_failure(
     planned: &IncomingRequest,
-    state: &mut AttemptState,
-    answer: TargetResponse,
+    attempts: &mut AttemptState,
+    response: TargetResponse,
 ) -> NextStep {
-    if !is_safe(planned) {
-        return NextStep::Done(answer);
+    if !is_repeatable(planned) {
+        return NextStep::Done(response);
     }
-    state.answer = Some(answer);
-    NextStep::Again
+    attempts.response = Some(response);
+    NextStep::Retry
 }
 
-/// What follows when a request was sent and no usable answer came.
+/// The next step after a request was sent and no usable response arrived.
 fn after_loss(planned: &IncomingRequest, reason: LossReason) -> NextStep {
-    if is_safe(planned) && reason != LossReason::Late {
-        return NextStep::Again;
+    if is_repeatable(planned) && reason != LossReason::Late {
+        return NextStep::Retry;
     }
     NextStep::Fail(match reason {
         LossReason::Late => ErrorKind::AnswerLate,
@@ -231,26 +248,25 @@
     })
 }
 
-/// Logs a try that gave no answer.
-fn log_retry(planned: &IncomingRequest, member: &RegisteredTarget, reason: &str) {
+fn log_retry(planned: &IncomingRequest, target: &RegisteredTarget, reason: &str) {
     let id = String::from_utf8_lossy(planned.outgoing.request_id.as_bytes()).into_owned();
     let pairs: [(&str, &dyn std::fmt::Display); 4] = [
         ("request", &id),
-        ("target", &member.id),
+        ("target", &target.id),
         ("reason", &reason),
         ("after_ms", &planned.arrived_at.elapsed().as_millis()),
     ];
     log_event(EventName::RequestRetried, &pairs);
 }
 
-fn log_limit(member: &RegisteredTarget, limit: Option<f64>) {
+fn log_limit(target: &RegisteredTarget, limit: Option<f64>) {
     let rate = limit.map_or("none".to_owned(), |rate| rate.to_string());
-    let pairs: [(&str, &dyn std::fmt::Display); 2] = [("target", &member.id), ("rate", &rate)];
+    let pairs: [(&str, &dyn std::fmt::Display); 2] = [("target", &target.id), ("rate", &rate)];
     log_event(EventName::TargetLimited, &pairs);
 }
 
-fn log_pause(member: &RegisteredTarget, pause: Duration) {
+fn log_pause(target: &RegisteredTarget, pause: Duration) {
     let pairs: [(&str, &dyn std::fmt::Display); 2] =
-        [("target", &member.id), ("pause_ms", &pause.as_millis())];
+        [("target", &target.id), ("pause_ms", &pause.as_millis())];
     log_event(EventName::TargetPaused, &pairs);
 }
--- a/crates/nickellead_gateway/src/worker/responses.rs
+++ b/crates/nickellead_gateway/src/worker/responses.rs
@@ -1,4 +1,4 @@
-//! What the caller gets: a target's answer, or a refusal.
+//! Builds what the caller receives: the target's response, or a refusal.
 
 use std::time::{Duration, Instant};
 
@@ -14,30 +14,32 @@
 use crate::exchange::TargetResponse;
 use crate::incoming::IncomingRequest;
 
-/// A caller whose answer can't be in time any more is asked to come back after this part of the time
-/// that it has left: most callers come back twice, and by then the rush may be over.
-const LATE_PART: f64 = 0.25;
-/// Part of the latency target that an answer takes, as far as anybody can tell before it is asked for.
-const ANSWER_PART: f64 = 0.5;
-/// A caller is asked to come back when this part of the time has passed in which it can still be in
-/// time: its second try is in the middle of it.
-const SPARE_PART: f64 = 0.5;
-/// Callers that were refused at the same moment come back spread over this part of their pause.
-const SPREAD: f64 = 0.6;
+/// Delay before a retry when a response can no longer meet the latency target, as a fraction of the
+/// time until the caller's deadline. Most callers can then retry more than once.
+const LATE_RETRY_FRACTION_OF_REMAINING: f64 = 0.25;
+/// Expected response time, as a fraction of the route's latency target.
+const RESPONSE_FRACTION_OF_LATENCY_TARGET: f64 = 0.5;
+/// Upper bound of the delay before a retry, as a fraction of the time that remains in which a retry
+/// can still meet the latency target.
+const RETRY_FRACTION_OF_SPARE_TIME: f64 = 0.5;
+/// Width of the jitter of `Retry-After`, as a fraction of the delay. It keeps callers that were
+/// refused together from retrying together.
+const RETRY_JITTER_FRACTION: f64 = 0.6;
 
 impl RequestWorker {
-    /// Refuses a request that came as the VM was about to end.
+    /// Refuses a request that arrived while the VM is stopping.
     pub(crate) fn refuse_stopping(&self, request: &Request) -> Response<BoxBody> {
         self.refuse(ErrorKind::Stopping, &self.request_id(request), None)
     }
 
-    /// The id that a caller gave its request, for logs.
+    /// The caller's request id for the log, or `-`.
     pub(super) fn request_id(&self, request: &Request) -> String {
-        let id = request.headers().get(self.names.request_id);
+        let id = request.headers().get(self.header_names.request_id);
         id.map_or("-".to_owned(), |id| String::from_utf8_lossy(id.as_bytes()).into_owned())
     }
 
-    /// Refuses a request whose head or body was not read to its end.
+    /// Refuses a request whose head or body was not read completely. Closes the connection where
+    /// the unread rest would be parsed as the next request.
     pub(super) fn refuse_unread(&self, kind: ErrorKind, id: &str) -> Response<BoxBody> {
         let mut response = self.refuse(kind, id, None);
         if matches!(
@@ -52,7 +54,7 @@
         response
     }
 
-    /// Refuses a request, and says when to come back if that may help.
+    /// Refuses a request, with a `Retry-After` header if a retry may succeed.
     pub(super) fn refuse(
         &self,
         kind: ErrorKind,
@@ -62,9 +64,10 @@
         self.metrics.count_error(kind, planned.map(IncomingRequest::main_service));
         self.log_failure(id, planned, kind);
         let mut response = error_response(kind);
-        let spread = 1.0 - SPREAD / 2.0 + self.rng.borrow_mut().f64() * SPREAD;
-        if let Some(wait) = self.come_back_time(kind, planned) {
-            let wait = wait.mul_f64(spread);
+        let jitter =
+            1.0 - RETRY_JITTER_FRACTION / 2.0 + self.rng.borrow_mut().f64() * RETRY_JITTER_FRACTION;
+        if let Some(wait) = self.retry_after(kind, planned) {
+            let wait = wait.mul_f64(jitter);
             let seconds = format!("{:.3}", wait.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 response.headers_mut().insert(RETRY_AFTER, value);
@@ -73,34 +76,39 @@
         response
     }
 
-    /// After which time a caller is asked to come back, if at all: while an answer can still be in
-    /// time, or else when it is likelier to find room.
-    fn come_back_time(
-        &self,
-        kind: ErrorKind,
-        planned: Option<&IncomingRequest>,
-    ) -> Option<Duration> {
-        let usual = Duration::from_millis(u64::from(kind.response().retry_after_ms?));
+    /// The delay after which the caller should retry, or `None` if the error kind has none.
+    ///
+    /// The caller retries while a response can still meet the latency target, and otherwise at a
+    /// point where capacity is more likely to be free.
+    fn retry_after(&self, kind: ErrorKind, planned: Option<&IncomingRequest>) -> Option<Duration> {
+        let default_delay = Duration::from_millis(u64::from(kind.response().retry_after_ms?));
         let Some(planned) = planned.filter(|_| self.policy.come_back_time.is_on()) else {
-            return Some(usual);
+            return Some(default_delay);
         };
         if kind == ErrorKind::TargetPaused {
-            // Sooner it would be refused again; whether that is in time, the caller knows best.
-            return Some(self.pause_left(planned).max(usual).div_f64(1.0 - SPREAD / 2.0));
+            // An earlier retry would be refused again. Only the caller knows whether a later one is
+            // useful.
+            return Some(
+                self.remaining_pause(planned)
+                    .max(default_delay)
+                    .div_f64(1.0 - RETRY_JITTER_FRACTION / 2.0),
+            );
         }
-        let answer = planned.route.rule.latency_target.mul_f64(ANSWER_PART);
-        let spare = planned.latency_deadline().saturating_duration_since(Instant::now() + answer);
+        let response_time =
+            planned.route.rule.latency_target.mul_f64(RESPONSE_FRACTION_OF_LATENCY_TARGET);
+        let spare =
+            planned.latency_deadline().saturating_duration_since(Instant::now() + response_time);
         Some(match spare.is_zero() {
-            true => planned.remaining().mul_f64(LATE_PART),
-            false => usual.min(spare.mul_f64(SPARE_PART)),
+            true => planned.remaining().mul_f64(LATE_RETRY_FRACTION_OF_REMAINING),
+            false => default_delay.min(spare.mul_f64(RETRY_FRACTION_OF_SPARE_TIME)),
         })
     }
 
-    /// Logs why a request failed, with the beliefs that decided it and their ages.
+    /// Logs why a request failed, with the cached state behind the decision and its age.
     fn log_failure(&self, id: &str, planned: Option<&IncomingRequest>, kind: ErrorKind) {
-        let beliefs = self.beliefs.borrow();
+        let state = self.state.borrow();
         let code = kind.response().code;
-        let version = beliefs.version.unwrap_or_default();
+        let version = state.version.unwrap_or_default();
         let Some(planned) = planned else {
             let pairs: [(&str, &dyn std::fmt::Display); 3] =
                 [("request", &id), ("error", &code), ("version", &version)];
@@ -108,8 +116,8 @@
         };
         let after = planned.arrived_at.elapsed().as_millis();
         let age = planned.caller_age.as_millis();
-        let ages = [beliefs.taken.declarations, beliefs.taken.targets, beliefs.taken.ranges]
-            .map(|taken| taken.elapsed().as_millis());
+        let ages = [state.updated.declarations, state.updated.targets, state.updated.ranges]
+            .map(|updated| updated.elapsed().as_millis());
         let mut pairs: Vec<(&str, &dyn std::fmt::Display)> = vec![
             ("request", &id),
             ("route", &planned.route.rule.name),
@@ -120,9 +128,9 @@
             ("config_age_ms", &ages[0]),
             ("targets_age_ms", &ages[1]),
         ];
-        if let Some((service, key)) = divided_key(&beliefs, planned) {
+        if let Some((service, key)) = owned_key(&state, planned) {
             pairs.extend([("key", key as &dyn std::fmt::Display), ("ranges_age_ms", &ages[2])]);
-            if let Some(range) = beliefs.ranges.find(service, *key) {
+            if let Some(range) = state.ranges.find(service, *key) {
                 pairs.push(("fence", &range.fence));
                 pairs.extend(range.owner.iter().map(|owner| ("owner", &owner.id as _)));
             }
@@ -130,8 +138,14 @@
         log_event(EventName::RequestFailed, &pairs);
     }
 
-    /// Logs one in [`REQUEST_ANSWERED_SAMPLE_INTERVAL`] answered requests, chosen by the id: the same ones on every VM.
-    pub(super) fn log_sample(&self, id: &str, planned: &IncomingRequest, answer: &TargetResponse) {
+    /// Logs one in [`REQUEST_ANSWERED_SAMPLE_INTERVAL`] answered requests. The request id selects it, so that all
+    /// VMs log the same requests.
+    pub(super) fn log_sample(
+        &self,
+        id: &str,
+        planned: &IncomingRequest,
+        response: &TargetResponse,
+    ) {
         if !xxhash_rust::xxh3::xxh3_64(id.as_bytes())
             .is_multiple_of(REQUEST_ANSWERED_SAMPLE_INTERVAL)
         {
@@ -140,33 +154,30 @@
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
             ("request", &id),
             ("route", &planned.route.rule.name),
-            ("status", &answer.status.as_u16()),
+            ("status", &response.status.as_u16()),
             ("after_ms", &planned.arrived_at.elapsed().as_millis()),
-            ("version", &self.beliefs.borrow().version.unwrap_or_default()),
+            ("version", &self.state.borrow().version.unwrap_or_default()),
         ];
         log_event(EventName::RequestAnswered, &pairs);
     }
 }
 
-/// The key that decides the owner, with the service whose keys have owners; `None` if nothing
-/// depends on them.
-fn divided_key<'a>(
-    beliefs: &WorkerState,
-    planned: &'a IncomingRequest,
-) -> Option<(&'a str, &'a u16)> {
-    let divided = |part: &&WeightedService| beliefs.is_divided(&part.service);
-    let part = planned.route.rule.split.iter().find(divided)?;
-    Some((&part.service, planned.key.as_ref()?))
+/// The service and key that determine the owner, or `None` if the route has no service with owned
+/// keys.
+fn owned_key<'a>(state: &WorkerState, planned: &'a IncomingRequest) -> Option<(&'a str, &'a u16)> {
+    let divided = |segment: &&WeightedService| state.is_divided(&segment.service);
+    let segment = planned.route.rule.split.iter().find(divided)?;
+    Some((&segment.service, planned.key.as_ref()?))
 }
 
-/// A target's answer as it goes to the caller.
-pub(super) fn pass_on(answer: TargetResponse) -> Response<BoxBody> {
-    let status = StatusCode::from_u16(answer.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
+/// Converts a target's response for the caller, without connection headers.
+pub(super) fn forward_response(response: TargetResponse) -> Response<BoxBody> {
+    let status = StatusCode::from_u16(response.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = Response::build(status);
-    for (name, value) in &answer.headers {
+    for (name, value) in &response.headers {
         if !is_connection_header(name.as_str()) {
             builder.append_header((name.as_str(), value.as_bytes()));
         }
     }
-    builder.body(answer.body).map_into_boxed_body()
+    builder.body(response.body).map_into_boxed_body()
 }
--- a/crates/nickellead_gateway/src/worker/selection.rs
+++ b/crates/nickellead_gateway/src/worker/selection.rs
@@ -1,4 +1,4 @@
-//! Finding the target of the next try, and waiting until it has room.
+//! Selects the target of the next attempt and waits until it has capacity.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,115 +14,117 @@
 use crate::target_registry::RegisteredTarget;
 use crate::waiting::wait_for;
 
-/// A range without an owner for longer is not on a planned move, which takes about the time of a
-/// request: it waits for a lost target's hold, seconds long, and requests for it are refused at once.
-const OWNERLESS_LONG: Duration = Duration::from_millis(1_000);
+/// Longest time that a range has no owner during a planned move. A range that has none for longer
+/// waits for the lease of a lost target to expire, which takes seconds, so requests for it are
+/// refused at once.
+const MAX_PLANNED_MOVE_DURATION: Duration = Duration::from_millis(1_000);
 
-/// What a look for a target came to.
-enum RoomLook {
-    /// It may be sent the request now.
-    Found(Rc<RegisteredTarget>),
-    /// It has no room now.
+/// The selected target, and whether it accepts a request now.
+enum TargetCapacity {
+    Available(Rc<RegisteredTarget>),
     Full(Rc<RegisteredTarget>),
 }
 
 impl RequestWorker {
-    /// A target with room, or why none was found in time.
-    pub(super) async fn wait_for_turn(
+    /// Waits for a target with capacity.
+    ///
+    /// # Errors
+    /// The reason for refusing the request when none is found in time.
+    pub(super) async fn wait_for_target(
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &AttemptState,
+        attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         loop {
-            let member = match self.look_for_room(planned, service, state).await? {
-                RoomLook::Found(member) => return Ok(member),
-                RoomLook::Full(member) => member,
+            let target = match self.find_target(planned, service, attempts).await? {
+                TargetCapacity::Available(target) => return Ok(target),
+                TargetCapacity::Full(target) => target,
             };
-            let divided = self.beliefs.borrow().is_divided(service);
+            let divided = self.state.borrow().is_divided(service);
             let service_queue = self.queue(service);
-            let turns = if divided { &member.wait_queue } else { &*service_queue };
+            let queue = if divided { &target.wait_queue } else { &*service_queue };
             let ahead = match divided {
-                true => turns.waiting(),
-                // The turns of all members come to the one queue.
-                false => turns.waiting() / self.part_size(service),
+                true => queue.waiting(),
+                // The queue of the service is served by all targets of the subset.
+                false => queue.waiting() / self.subset_size(service),
             };
-            let left = self.time_for_turn(planned, &member, ahead).ok_or(ErrorKind::Overloaded)?;
-            let mut turn = turns.join(planned.route.rule.priority);
-            let woken = tokio::time::timeout(left, turn.wait()).await;
-            if woken.is_err() {
-                turns.leave(&turn);
+            let left = self.queue_timeout(planned, &target, ahead).ok_or(ErrorKind::Overloaded)?;
+            let mut ticket = queue.join(planned.route.rule.priority);
+            let waited = tokio::time::timeout(left, ticket.wait()).await;
+            if waited.is_err() {
+                queue.leave(&ticket);
                 return Err(ErrorKind::Overloaded);
             }
         }
     }
 
-    /// A target that may be sent the request now, or one to wait for.
-    async fn look_for_room(
+    /// Selects a target that accepts the request now, or one to wait for.
+    async fn find_target(
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &AttemptState,
-    ) -> Result<RoomLook, ErrorKind> {
-        let mut chosen = self.choose_member(planned, service, state).await;
-        while chosen.is_err() && self.beliefs.borrow().roster.is_empty() {
-            // The VM has just started: what it is told next is the list of targets.
+        attempts: &AttemptState,
+    ) -> Result<TargetCapacity, ErrorKind> {
+        let mut chosen = self.choose_target(planned, service, attempts).await;
+        while chosen.is_err() && self.state.borrow().registry.is_empty() {
+            // A VM that has just started has not received the list of targets yet.
             self.wait_for_targets(planned.latency_deadline()).await?;
-            chosen = self.choose_member(planned, service, state).await;
+            chosen = self.choose_target(planned, service, attempts).await;
         }
-        let member = chosen?;
+        let target = chosen?;
         let now = BootClock.now();
-        if member.signals.get().is_paused(now) {
+        if target.signals.get().is_paused(now) {
             return Err(ErrorKind::TargetPaused);
         }
-        if !member.cold_limiter.may_send(now) {
-            // Its keys have no other owner, and it would fall over for more.
+        if !target.cold_limiter.may_send(now) {
+            // The keys have no other owner, and a cold target must not exceed its limit.
             return Err(ErrorKind::Overloaded);
         }
-        if !member.rate_allows(now) {
+        if !target.rate_allows(now) {
             return Err(ErrorKind::TargetLimited);
         }
-        if !self.reach.may_attempt(&member.zone, now) {
+        if !self.reachability.may_attempt(&target.zone, now) {
             return Err(ErrorKind::TargetUnreachable);
         }
-        if !member.has_capacity() {
-            return Ok(RoomLook::Full(member));
+        if !target.has_capacity() {
+            return Ok(TargetCapacity::Full(target));
         }
-        self.reach.record_attempt(&member.zone, now);
-        Ok(RoomLook::Found(member))
+        self.reachability.record_attempt(&target.zone, now);
+        Ok(TargetCapacity::Available(target))
     }
 
-    /// How long a request may wait for a member's room behind `ahead` others; `None` when its answer
-    /// would not be in time, so that waiting is of no use to the caller.
-    fn time_for_turn(
+    /// How long a request may wait for the target's capacity behind `ahead` others, or `None` when
+    /// its response would miss the latency target.
+    fn queue_timeout(
         &self,
         planned: &IncomingRequest,
-        member: &RegisteredTarget,
+        target: &RegisteredTarget,
         ahead: usize,
     ) -> Option<Duration> {
-        let limit = member.concurrency_limit.get();
-        let answer = limit.mean_latency(planned.route.rule.latency_target);
-        let whole = planned.latency_deadline().saturating_duration_since(Instant::now());
-        let left = whole.saturating_sub(answer);
-        let comes = left >= limit.expected_wait(ahead, answer);
-        let hopeful = comes || !self.policy.turn_prediction.is_on();
-        (hopeful && !left.is_zero()).then_some(left)
+        let limit = target.concurrency_limit.get();
+        let response_time = limit.mean_latency(planned.route.rule.latency_target);
+        let remaining = planned.latency_deadline().saturating_duration_since(Instant::now());
+        let left = remaining.saturating_sub(response_time);
+        let in_time = left >= limit.expected_wait(ahead, response_time);
+        let may_wait = in_time || !self.policy.turn_prediction.is_on();
+        (may_wait && !left.is_zero()).then_some(left)
     }
 
-    /// Members of a service that this VM sends to.
-    fn part_size(&self, service: &str) -> usize {
-        self.beliefs.borrow().roster.subset(service).len().max(1)
+    /// Number of targets of a service that this VM sends requests to, at least 1.
+    fn subset_size(&self, service: &str) -> usize {
+        self.state.borrow().registry.subset(service).len().max(1)
     }
 
-    /// Waits for the first list of targets.
+    /// Waits for the first list of targets that is not empty.
     async fn wait_for_targets(&self, until: Instant) -> Result<(), ErrorKind> {
-        let is_listed = || !self.beliefs.borrow().roster.is_empty();
-        let listed = wait_for(&self.changed, || is_listed().then_some(()));
-        let waited = tokio::time::timeout_at(until.into(), listed).await;
+        let is_listed = || !self.state.borrow().registry.is_empty();
+        let first_list = wait_for(&self.changed, || is_listed().then_some(()));
+        let waited = tokio::time::timeout_at(until.into(), first_list).await;
         waited.map_err(|_| ErrorKind::NotConfigured)
     }
 
-    /// The queue of a service.
+    /// The wait queue that all targets of a service without owned keys share.
     pub(super) fn queue(&self, service: &str) -> Rc<WaitQueue> {
         let mut queues = self.queues.borrow_mut();
         match queues.get(service) {
@@ -131,84 +133,92 @@
         }
     }
 
-    /// The target for the next try, with room or without.
-    async fn choose_member(
+    /// The target of the next attempt: the owner of the key, or else the one that balancing
+    /// selects. It may have no capacity.
+    async fn choose_target(
         &self,
         planned: &IncomingRequest,
         service: &str,
-        state: &AttemptState,
+        attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
-        if self.beliefs.borrow().is_divided(service) {
+        if self.state.borrow().is_divided(service) {
             let key = planned.key.ok_or(ErrorKind::KeyMissing)?;
-            return self.wait_for_owner(planned, service, key, state).await;
+            return self.wait_for_owner(planned, service, key, attempts).await;
         }
-        self.balance(service, &state.tried)
+        self.select_balanced(service, &attempts.tried)
     }
 
-    /// Whether a member owns keys and wants nothing now: nobody else can serve them.
-    pub(super) fn owner_is_paused(&self, service: &str, member: &RegisteredTarget) -> bool {
-        let divided = self.beliefs.borrow().is_divided(service);
-        divided && member.signals.get().is_paused(BootClock.now())
+    /// Whether the target owns keys and is paused, so that no other target can serve the request.
+    pub(super) fn owner_is_paused(&self, service: &str, target: &RegisteredTarget) -> bool {
+        let divided = self.state.borrow().is_divided(service);
+        divided && target.signals.get().is_paused(BootClock.now())
     }
 
-    /// How long it takes until a target that could serve a request wants requests again.
-    pub(super) fn pause_left(&self, planned: &IncomingRequest) -> Duration {
+    /// Time until the pause of the first target that can serve the request ends.
+    pub(super) fn remaining_pause(&self, planned: &IncomingRequest) -> Duration {
         let now = BootClock.now();
-        let beliefs = self.beliefs.borrow();
-        let part_pause = |part: &WeightedService| match planned
+        let state = self.state.borrow();
+        let service_pause = |segment: &WeightedService| match planned
             .key
-            .filter(|_| beliefs.is_divided(&part.service))
+            .filter(|_| state.is_divided(&segment.service))
         {
             Some(key) => {
-                let range = beliefs.ranges.find(&part.service, key);
+                let range = state.ranges.find(&segment.service, key);
                 let owner =
-                    range.and_then(|range| beliefs.roster.find_instance(range.owner.as_ref()?));
+                    range.and_then(|range| state.registry.find_instance(range.owner.as_ref()?));
                 owner.map(|owner| owner.signals.get().pause_remaining(now))
             }
             None => {
-                let members = beliefs.roster.available(&part.service).iter();
-                members.map(|member| member.signals.get().pause_remaining(now)).min()
+                let members = state.registry.available(&segment.service).iter();
+                members.map(|target| target.signals.get().pause_remaining(now)).min()
             }
         };
-        planned.route.rule.split.iter().filter_map(part_pause).min().unwrap_or_default()
+        planned.route.rule.split.iter().filter_map(service_pause).min().unwrap_or_default()
     }
 
-    fn balance(&self, service: &str, tried: &[String]) -> Result<Rc<RegisteredTarget>, ErrorKind> {
-        let beliefs = self.beliefs.borrow();
+    /// Selects a target by its score, preferably within this VM's subset and among the targets that
+    /// are reachable and have capacity.
+    fn select_balanced(
+        &self,
+        service: &str,
+        tried: &[String],
+    ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
+        let state = self.state.borrow();
         let now = BootClock.now();
-        let stay = self.leaving_stay;
-        let usable = |member: &&Rc<RegisteredTarget>| {
-            !tried.contains(&member.id) && member.may_send(stay, now)
+        let grace = self.leaving_grace;
+        let usable = |target: &&Rc<RegisteredTarget>| {
+            !tried.contains(&target.id) && target.may_send(grace, now)
         };
-        let reached = |member: &&Rc<RegisteredTarget>| {
-            let in_reach = !member.is_down(now) && self.reach.may_attempt(&member.zone, now);
-            usable(member) && in_reach && !member.is_leaving()
+        let reachable = |target: &&Rc<RegisteredTarget>| {
+            let is_reachable =
+                !target.is_down(now) && self.reachability.may_attempt(&target.zone, now);
+            usable(target) && is_reachable && !target.is_leaving()
         };
-        let part = match self.policy.subsets.is_on() {
-            true => beliefs.roster.subset(service),
-            false => beliefs.roster.available(service),
+        let subset = match self.policy.subsets.is_on() {
+            true => state.registry.subset(service),
+            false => state.registry.available(service),
         };
-        let all = beliefs.roster.available(service);
-        let mut fresh: Vec<&Rc<RegisteredTarget>> = part.iter().filter(reached).collect();
-        let full = !fresh.iter().any(|member| member.has_capacity());
-        if fresh.is_empty() || full && !beliefs.roster.is_partitioned(service) {
-            fresh = all.iter().filter(reached).collect();
+        let all = state.registry.available(service);
+        let mut eligible: Vec<&Rc<RegisteredTarget>> = subset.iter().filter(reachable).collect();
+        let all_full = !eligible.iter().any(|target| target.has_capacity());
+        if eligible.is_empty() || all_full && !state.registry.is_partitioned(service) {
+            eligible = all.iter().filter(reachable).collect();
         }
-        if fresh.is_empty() {
-            fresh = all.iter().filter(usable).collect();
+        if eligible.is_empty() {
+            eligible = all.iter().filter(usable).collect();
         }
-        if fresh.iter().any(|member| member.has_capacity()) {
-            fresh.retain(|member| member.has_capacity());
+        if eligible.iter().any(|target| target.has_capacity()) {
+            eligible.retain(|target| target.has_capacity());
         }
-        let scores: Vec<_> = fresh.iter().map(|member| member.score.borrow()).collect();
-        let candidates: Vec<Candidate<'_>> = fresh
+        let scores: Vec<_> = eligible.iter().map(|target| target.score.borrow()).collect();
+        let candidates: Vec<Candidate<'_>> = eligible
             .iter()
             .zip(&scores)
-            .map(|(member, score)| Candidate {
+            .map(|(target, score)| Candidate {
                 score,
-                slots: member.slots,
-                same_zone: member.zone == self.zone,
-                cold: member.cold_limiter.is_cold(now),
+                slots: target.slots,
+                same_zone: target.zone == self.zone,
+                cold: target.cold_limiter.is_cold(now),
             })
             .collect();
         let rules = SelectionRules {
@@ -217,71 +227,79 @@
             avoid_cold: self.policy.cold_avoidance.is_on(),
         };
         let chosen = choose(&candidates, rules, now, &mut self.rng.borrow_mut());
-        chosen.map(|place| Rc::clone(fresh[place])).ok_or_else(|| lacks_target(all, now))
+        chosen.map(|index| Rc::clone(eligible[index])).ok_or_else(|| no_target_reason(all, now))
     }
 
-    /// The owner of a key; waits a bounded time while its range moves.
+    /// Returns the owner of a key. Waits while its range moves, at most until a response would miss
+    /// the latency target.
     async fn wait_for_owner(
         &self,
         planned: &IncomingRequest,
         service: &str,
         key: u16,
-        state: &AttemptState,
+        attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
-        if self.policy.ownerless_refusal.is_on() && self.lacks_owner_for_long(service, key) {
+        if self.policy.ownerless_refusal.is_on() && self.is_ownerless_too_long(service, key) {
             return Err(ErrorKind::MoveTooLong);
         }
-        // Nobody else can serve the key, so the request waits for as long as it can be in time.
+        // No other target can serve the key.
         let until = match self.policy.move_wait.is_on() {
             true => planned.latency_deadline().min(planned.deadline),
             false => planned.arrived_at,
         };
-        let waiting = wait_for(&self.changed, || self.owner(service, key, state));
+        let waiting = wait_for(&self.changed, || self.usable_owner(service, key, attempts));
         let waited = tokio::time::timeout_at(until.into(), waiting).await;
         waited.map_err(|_| ErrorKind::MoveTooLong)
     }
 
-    /// Whether nobody could be asked for a key for so long that waiting is of no use.
-    fn lacks_owner_for_long(&self, service: &str, key: u16) -> bool {
-        let beliefs = self.beliefs.borrow();
-        let Some(range) = beliefs.ranges.find(service, key) else { return false };
+    /// Whether a range has had no usable owner for so long that waiting does not help.
+    fn is_ownerless_too_long(&self, service: &str, key: u16) -> bool {
+        let state = self.state.borrow();
+        let Some(range) = state.ranges.find(service, key) else { return false };
         let owner = range.owner.as_ref().filter(|_| range.settled);
-        let mut ownerless = self.ownerless.borrow_mut();
+        let mut ownerless = self.ownerless_since.borrow_mut();
         let now = BootClock.now();
-        let owner = owner.and_then(|owner| beliefs.roster.find_instance(owner));
+        let owner = owner.and_then(|owner| state.registry.find_instance(owner));
         if let Some(leaving) = owner.and_then(|owner| owner.signals.get().leaving_since()) {
-            // Its keys have been about to move since it said that it leaves.
-            return now.since(leaving) >= self.leaving_stay.max(OWNERLESS_LONG);
+            // The keys have been waiting for a move since the owner announced that it leaves.
+            return now.since(leaving) >= self.leaving_grace.max(MAX_PLANNED_MOVE_DURATION);
         }
         if owner.is_some() {
             ownerless.remove(&range.fence);
             return false;
         }
         let since = *ownerless.entry(range.fence).or_insert_with(Instant::now);
-        since.elapsed() >= OWNERLESS_LONG
+        since.elapsed() >= MAX_PLANNED_MOVE_DURATION
     }
 
-    /// The settled owner of a key, unless it has just refused this request.
-    fn owner(&self, service: &str, key: u16, state: &AttemptState) -> Option<Rc<RegisteredTarget>> {
-        let beliefs = self.beliefs.borrow();
-        let range = beliefs.ranges.find(service, key).filter(|range| range.settled)?;
-        let owner = range.owner.as_ref().filter(|owner| !state.misdirected.contains(&owner.id))?;
-        let member = beliefs.roster.find_instance(owner)?;
+    /// The settled owner of a key, unless it has just refused this request or does not accept
+    /// requests.
+    fn usable_owner(
+        &self,
+        service: &str,
+        key: u16,
+        attempts: &AttemptState,
+    ) -> Option<Rc<RegisteredTarget>> {
+        let state = self.state.borrow();
+        let range = state.ranges.find(service, key).filter(|range| range.settled)?;
+        let owner =
+            range.owner.as_ref().filter(|owner| !attempts.misdirected.contains(&owner.id))?;
+        let target = state.registry.find_instance(owner)?;
         let now = BootClock.now();
-        let stays = member.signals.get().serves_owned_keys(self.leaving_stay, now);
-        let asked = stays && !beliefs.zones.is_closed(&member.zone, now);
-        asked.then(|| Rc::clone(member))
+        let stays = target.signals.get().serves_owned_keys(self.leaving_grace, now);
+        let accepts = stays && !state.zones.is_closed(&target.zone, now);
+        accepts.then(|| Rc::clone(target))
     }
 }
 
-/// Why none of a service's targets can be sent a request now.
-fn lacks_target(members: &[Rc<RegisteredTarget>], now: Timestamp) -> ErrorKind {
-    let staying = || members.iter().filter(|member| !member.is_leaving());
+/// Why none of a service's targets accepts a request.
+fn no_target_reason(members: &[Rc<RegisteredTarget>], now: Timestamp) -> ErrorKind {
+    let staying = || members.iter().filter(|target| !target.is_leaving());
     if staying().next().is_none() {
         ErrorKind::NoTarget
-    } else if staying().any(|member| member.signals.get().is_paused(now)) {
+    } else if staying().any(|target| target.signals.get().is_paused(now)) {
         ErrorKind::TargetPaused
-    } else if staying().any(|member| !member.rate_allows(now)) {
+    } else if staying().any(|target| !target.rate_allows(now)) {
         ErrorKind::TargetLimited
     } else {
         ErrorKind::Overloaded
