--- a/benches/capacity/news.rs
+++ b/benches/capacity/news.rs
@@ -197,8 +197,8 @@
     sink.put("news-map-copy-memory", "bytes", memory as f64);
     sink.time("news-map-between", || MapChange::between(&old, &new).unwrap());
     let mut history = RangesHistory::default();
-    history.take_whole(stored(1, &old));
-    history.take_whole(stored(2, &new));
+    history.apply_whole(stored(1, &old));
+    history.apply_whole(stored(2, &new));
     let tell = || bytes_of(&history.since(Revision::without_era(1)).unwrap());
     sink.put("news-map-write", "bytes", tell() as f64);
     sink.put("news-map-whole", "bytes", bytes_of(&RangesUpdate::Whole(stored(2, &new))) as f64);
--- a/crates/nickellead_gateway/src/cluster_state/declared.rs
+++ b/crates/nickellead_gateway/src/cluster_state/declared.rs
@@ -15,26 +15,26 @@
     /// The store's revision that they are as of.
     pub(crate) as_of: Revision,
     /// How to get at them.
-    pub(crate) news: DeclaredUpdate,
+    pub(crate) content: DeclaredUpdate,
 }
 
 /// What a book keeps of the declarations besides their content.
 #[derive(Default)]
-pub(super) struct DeclaredPart {
+pub(super) struct DeclarationsCache {
     /// The last changes, for readers that know an earlier content; they lead to what is known.
     history: DeclarationsHistory,
     /// All of them, packed when the first reader asks for a whole copy.
     whole: Option<Packed<Declarations>>,
 }
 
-impl DeclaredPart {
+impl DeclarationsCache {
     /// Which content is known.
     pub(super) fn state(&self) -> Option<DeclaredState> {
         self.history.newest()
     }
 
     /// Notes that declarations were read from the store, and how they differ from those before.
-    pub(super) fn note_read(&mut self, known: Option<&Declarations>, new: &Declarations) {
+    pub(super) fn record_stored(&mut self, known: Option<&Declarations>, new: &Declarations) {
         let step = known.and_then(|known| make_step(known, new));
         match step {
             Some(step) => self.history.push(step),
@@ -44,7 +44,7 @@
     }
 
     /// Notes that another VM told declarations.
-    pub(super) fn note_told(&mut self, applied: &AppliedUpdate) {
+    pub(super) fn record_update(&mut self, applied: &AppliedUpdate) {
         self.history.apply_update(applied);
         self.whole = None;
     }
@@ -59,7 +59,7 @@
             return Some(DeclaredUpdate::Steps(steps));
         }
         if self.whole.is_none() {
-            self.whole = Packed::pack(newest).map_err(|error| log_untold(newest, &error)).ok();
+            self.whole = Packed::pack(newest).map_err(|error| log_unsendable(newest, &error)).ok();
         }
         self.whole.clone().map(DeclaredUpdate::Full)
     }
@@ -72,7 +72,7 @@
     DeclaredStep::pack(&change).ok()
 }
 
-fn log_untold(newest: &Declarations, error: &dyn std::fmt::Display) {
+fn log_unsendable(newest: &Declarations, error: &dyn std::fmt::Display) {
     let pairs: [(&str, &dyn std::fmt::Display); 2] =
         [("version", &newest.version), ("reason", error)];
     log_event(EventName::DeclarationsUntold, &pairs);
--- a/crates/nickellead_gateway/src/cluster_state/mod.rs
+++ b/crates/nickellead_gateway/src/cluster_state/mod.rs
@@ -19,11 +19,11 @@
 use nickellead_range::{RangeMap, TargetInstance};
 use tokio::sync::Notify;
 
+use self::declared::DeclarationsCache;
 pub(crate) use self::declared::DeclarationsUpdate;
-use self::declared::DeclaredPart;
-pub use self::ranges::{RangesHistory, RangesStep, RangesUpdate, StepsMisfit};
-pub(crate) use self::targets::LAPSE_TIME;
-use self::targets::{ChangeOrigin, TargetPart};
+pub use self::ranges::{RangesHistory, RangesStep, RangesUpdate, StepsError};
+pub(crate) use self::targets::EXPIRY_GRACE;
+use self::targets::{ChangeOrigin, TargetsState};
 use self::updates::log_unusable;
 pub(crate) use self::updates::{StateCursor, StateUpdate};
 use crate::admission::AdmissionTable;
@@ -47,7 +47,7 @@
 
 /// Declarations that another VM knows of and this one does not know yet.
 #[derive(Clone, Copy)]
-struct DeclaredLack {
+struct MissingDeclarations {
     state: DeclaredState,
     /// Since when any newer ones are lacked.
     since: Instant,
@@ -57,9 +57,9 @@
 pub(crate) struct ClusterState {
     incarnation: u64,
     known: Cell<KnownRevisions>,
-    declared: RefCell<DeclaredPart>,
-    announced: Cell<Option<DeclaredLack>>,
-    targets: RefCell<TargetPart>,
+    declared: RefCell<DeclarationsCache>,
+    announced: Cell<Option<MissingDeclarations>>,
+    targets: RefCell<TargetsState>,
     /// Whether the last list of targets was older than what was known.
     list_outdated: Cell<bool>,
     ranges: RefCell<RangesHistory>,
@@ -68,13 +68,13 @@
     mandate: RefCell<Option<Stored<MandateRecord>>>,
     /// Evacuated zones, as of the store's revision at which they were read; 0 before.
     evacuations: RefCell<Stored<EvacuatedZones>>,
-    told: StateSenders,
+    senders: StateSenders,
     /// Woken by every change.
     pub(crate) changed: Notify,
 }
 
 impl ClusterState {
-    pub(crate) fn new(incarnation: u64, told: StateSenders) -> Self {
+    pub(crate) fn new(incarnation: u64, senders: StateSenders) -> Self {
         Self {
             incarnation,
             known: Cell::default(),
@@ -86,7 +86,7 @@
             packed_ranges: RefCell::default(),
             mandate: RefCell::new(None),
             evacuations: RefCell::default(),
-            told,
+            senders,
             changed: Notify::new(),
         }
     }
@@ -98,12 +98,12 @@
 
     /// The declarations that are in force.
     pub(crate) fn declarations(&self) -> Option<Arc<Declarations>> {
-        self.told.declarations.borrow().clone()
+        self.senders.declarations.borrow().clone()
     }
 
     /// The listed targets.
     pub(crate) fn targets(&self) -> Arc<TargetList> {
-        Arc::clone(&self.told.targets.borrow())
+        Arc::clone(&self.senders.targets.borrow())
     }
 
     /// The newest map of ranges.
@@ -129,33 +129,33 @@
 
     /// The newest content of the declarations that is known or announced.
     pub(crate) fn newest_declared(&self) -> Option<DeclaredState> {
-        self.announced.get().map(|lack| lack.state).or_else(|| self.declared_state())
+        self.announced.get().map(|missing| missing.state).or_else(|| self.declared_state())
     }
 
     /// Notes a content of the declarations that another VM knows of.
-    pub(crate) fn note_announced(&self, state: DeclaredState) {
+    pub(crate) fn record_announced_declarations(&self, state: DeclaredState) {
         let newest = self.newest_declared();
         if newest.is_some_and(|newest| newest.version >= state.version) {
             return;
         }
-        let since = self.announced.get().map_or_else(Instant::now, |lack| lack.since);
-        self.announced.set(Some(DeclaredLack { state, since }));
+        let since = self.announced.get().map_or_else(Instant::now, |missing| missing.since);
+        self.announced.set(Some(MissingDeclarations { state, since }));
         self.changed.notify_waiters();
     }
 
     /// Whether newer declarations are announced than are known.
-    pub(crate) fn lacks_declarations(&self) -> bool {
+    pub(crate) fn is_missing_declarations(&self) -> bool {
         self.announced.get().is_some()
     }
 
     /// Whether newer declarations than are known have been announced since then.
-    pub(crate) fn lacks_since(&self, since: Instant) -> bool {
-        self.announced.get().is_some_and(|lack| lack.since == since)
+    pub(crate) fn is_missing_since(&self, since: Instant) -> bool {
+        self.announced.get().is_some_and(|missing| missing.since == since)
     }
 
     /// Waits until newer declarations are announced than are known; gives since when.
-    pub(crate) async fn wait_for_lack(&self) -> Instant {
-        wait_for(&self.changed, || self.announced.get().map(|lack| lack.since)).await
+    pub(crate) async fn wait_for_missing_declarations(&self) -> Instant {
+        wait_for(&self.changed, || self.announced.get().map(|missing| missing.since)).await
     }
 
     fn is_newer(&self, version: u64) -> bool {
@@ -163,17 +163,17 @@
     }
 
     /// Takes over declarations that the store told; older ones are ignored.
-    pub(crate) fn note_declarations(&self, as_of: Revision, new: Option<Declarations>) {
-        self.raise(|known| &mut known.declarations, as_of);
+    pub(crate) fn apply_stored_declarations(&self, as_of: Revision, new: Option<Declarations>) {
+        self.raise_revision(|known| &mut known.declarations, as_of);
         let Some(new) = new.filter(|new| self.is_newer(new.version)) else { return };
-        self.declared.borrow_mut().note_read(self.declarations().as_deref(), &new);
-        self.put_in_force(new);
+        self.declared.borrow_mut().record_stored(self.declarations().as_deref(), &new);
+        self.activate_declarations(new);
     }
 
     /// Takes over declarations that another VM told, older ones are ignored; tells whether they fit
     /// what is known.
-    pub(crate) fn take_declarations(&self, told: DeclarationsUpdate) -> bool {
-        let applied = match told.news.apply(self.declarations().as_deref()) {
+    pub(crate) fn apply_declarations_update(&self, update: DeclarationsUpdate) -> bool {
+        let applied = match update.content.apply(self.declarations().as_deref()) {
             Ok(applied) => applied,
             Err(error) => {
                 log_unusable("declarations", &error);
@@ -181,21 +181,21 @@
             }
         };
         if self.is_newer(applied.state.version) {
-            self.declared.borrow_mut().note_told(&applied);
-            self.put_in_force(applied.declarations);
+            self.declared.borrow_mut().record_update(&applied);
+            self.activate_declarations(applied.declarations);
         }
         if self.declared_state() == Some(applied.state) {
-            self.raise(|known| &mut known.declarations, told.as_of);
+            self.raise_revision(|known| &mut known.declarations, update.as_of);
         }
         true
     }
 
-    fn put_in_force(&self, new: Declarations) {
+    fn activate_declarations(&self, new: Declarations) {
         let version = new.version;
-        if self.announced.get().is_some_and(|lack| lack.state.version <= version) {
+        if self.announced.get().is_some_and(|missing| missing.state.version <= version) {
             self.announced.set(None);
         }
-        self.told.declarations.send_replace(Some(Arc::new(new)));
+        self.senders.declarations.send_replace(Some(Arc::new(new)));
         log_event(EventName::ConfigInForce, &[("version", &version)]);
         self.changed.notify_waiters();
     }
@@ -212,20 +212,20 @@
         known: Option<DeclaredState>,
     ) -> Option<DeclarationsUpdate> {
         let newest = self.declarations()?;
-        let news = self.declared.borrow_mut().since(known, &newest)?;
-        Some(DeclarationsUpdate { as_of: self.known().declarations.unwrap_or_default(), news })
+        let content = self.declared.borrow_mut().since(known, &newest)?;
+        Some(DeclarationsUpdate { as_of: self.known().declarations.unwrap_or_default(), content })
     }
 
     /// Takes over the whole list of targets that the store told, unless a newer one is known.
     ///
     /// `lapse` is until when a missing entry may only have lapsed.
-    pub(crate) fn note_all_targets(
+    pub(crate) fn apply_stored_targets(
         &self,
         as_of: Revision,
         listing: TargetListing,
-        lapse: Option<Instant>,
+        remove_at: Option<Instant>,
     ) -> bool {
-        self.take_target_list(as_of, listing, lapse, ChangeOrigin::Store)
+        self.apply_target_list(as_of, listing, remove_at, ChangeOrigin::Store)
     }
 
     /// How much longer a target is cold by its entry.
@@ -234,23 +234,23 @@
     }
 
     /// Takes over changes of targets that the store told and that follow on what is known.
-    pub(crate) fn note_target_changes(
+    pub(crate) fn apply_stored_target_changes(
         &self,
         as_of: Revision,
         changes: Vec<TargetChange>,
-        lapse: Option<Instant>,
+        remove_at: Option<Instant>,
     ) {
-        self.take_target_changes(as_of, changes, lapse, ChangeOrigin::Store);
+        self.apply_target_changes(as_of, changes, remove_at, ChangeOrigin::Store);
     }
 
-    fn take_target_list(
+    fn apply_target_list(
         &self,
         as_of: Revision,
         listing: TargetListing,
-        lapse: Option<Instant>,
+        remove_at: Option<Instant>,
         origin: ChangeOrigin,
     ) -> bool {
-        let reached = self.targets_reached().filter(|reached| *reached > as_of);
+        let reached = self.targets_revision().filter(|reached| *reached > as_of);
         let was_outdated = self.list_outdated.replace(reached.is_some());
         if let Some(reached) = reached {
             if !was_outdated {
@@ -259,8 +259,9 @@
             return false;
         }
         // Another VM's list holds what may only have lapsed.
-        let lost = self.enter_targets_era(as_of.era).filter(|_| origin == ChangeOrigin::Store);
-        let lapse = lapse.max(lost);
+        let lost_entries_due =
+            self.enter_targets_era(as_of.era).filter(|_| origin == ChangeOrigin::Store);
+        let remove_at = remove_at.max(lost_entries_due);
         let known = self.targets.borrow().list.keys().cloned().collect::<Vec<_>>();
         let TargetListing { targets, unreadable } = listing;
         let missing = |id: &String| !targets.contains_key(id) && !unreadable.contains(id);
@@ -270,7 +271,7 @@
             .chain(unreadable.into_iter().map(TargetChange::Unreadable))
             .chain(self.targets.borrow_mut().withhold(targets))
             .collect();
-        self.take_target_changes(as_of, changes, lapse, origin);
+        self.apply_target_changes(as_of, changes, remove_at, origin);
         true
     }
 
@@ -282,125 +283,121 @@
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
             [("era", &era), ("before", &before.era), ("reached", &before.number)];
         log_event(EventName::StoreOlder, &pairs);
-        Some(now + LAPSE_TIME)
+        Some(now + EXPIRY_GRACE)
     }
 
-    fn take_target_changes(
+    fn apply_target_changes(
         &self,
         as_of: Revision,
         changes: Vec<TargetChange>,
-        lapse: Option<Instant>,
+        remove_at: Option<Instant>,
         origin: ChangeOrigin,
     ) {
         self.enter_targets_era(as_of.era);
-        self.raise(|known| &mut known.targets, as_of);
-        let mut part = self.targets.borrow_mut();
-        part.reached = part.reached.max(Some(as_of));
-        let before = part.number;
-        part.take_all(changes, lapse, origin);
-        if part.next_due().is_some() {
+        self.raise_revision(|known| &mut known.targets, as_of);
+        let mut targets = self.targets.borrow_mut();
+        targets.revision = targets.revision.max(Some(as_of));
+        let before = targets.last_change;
+        targets.apply_all(changes, remove_at, origin);
+        if targets.next_due().is_some() {
             self.changed.notify_waiters();
         }
-        self.tell_targets(&part, before);
+        self.publish_targets(&targets, before);
     }
 
     /// Up to which revision of the store the list of targets tells everything.
-    fn targets_reached(&self) -> Option<Revision> {
-        self.targets.borrow().reached
+    fn targets_revision(&self) -> Option<Revision> {
+        self.targets.borrow().revision
     }
 
     /// Drops entries that lapsed and did not come back, each when it is due and whoever is followed
     /// then: a source may know no newer list than the one that showed them gone.
-    pub(crate) async fn drop_all_lapsed(&self) {
+    pub(crate) async fn remove_expired_targets(&self) {
         loop {
-            let due = wait_for(&self.changed, || self.next_lapse()).await;
+            let due = wait_for(&self.changed, || self.next_due_target()).await;
             tokio::time::sleep_until(due.into()).await;
-            self.drop_lapsed(Instant::now());
+            self.apply_due_targets(Instant::now());
         }
     }
 
-    fn drop_lapsed(&self, now: Instant) {
-        let mut part = self.targets.borrow_mut();
-        let before = part.number;
-        part.settle_due(now);
-        self.tell_targets(&part, before);
+    fn apply_due_targets(&self, now: Instant) {
+        let mut targets = self.targets.borrow_mut();
+        let before = targets.last_change;
+        targets.apply_due(now);
+        self.publish_targets(&targets, before);
     }
 
     /// When the next entry that lapsed is taken as gone, or one that was withheld is listed.
-    fn next_lapse(&self) -> Option<Instant> {
+    fn next_due_target(&self) -> Option<Instant> {
         self.targets.borrow().next_due()
     }
 
     /// Tells the request duty and readers if the list changed since change number `before`.
-    fn tell_targets(&self, part: &TargetPart, before: u64) {
-        if part.number != before {
-            self.told.targets.send_replace(Arc::new(part.list.clone()));
+    fn publish_targets(&self, targets: &TargetsState, before: u64) {
+        if targets.last_change != before {
+            self.senders.targets.send_replace(Arc::new(targets.list.clone()));
             self.changed.notify_waiters();
         }
     }
 
     /// Takes over a map of ranges; an older one is ignored.
-    pub(crate) fn note_ranges(&self, as_of: Revision, new: Option<Stored<RangeMap>>) {
-        self.raise(|known| &mut known.ranges, as_of);
+    pub(crate) fn apply_ranges(&self, as_of: Revision, new: Option<Stored<RangeMap>>) {
+        self.raise_revision(|known| &mut known.ranges, as_of);
         let Some(new) = new else { return };
         // A map that a copy brought back does not follow on those that the store has lost.
         let new = Stored { revision: new.order(), ..new };
-        if self.ranges.borrow_mut().take_whole(new) {
-            self.tell_newest_ranges();
+        if self.ranges.borrow_mut().apply_whole(new) {
+            self.publish_ranges();
         }
     }
 
     /// Takes over steps of the map of ranges; those that are known are ignored.
     ///
     /// # Errors
-    /// [`StepsMisfit`] when they don't go on from the known map; nothing is taken over then.
-    fn note_ranges_steps(
-        &self,
-        as_of: Revision,
-        steps: Vec<RangesStep>,
-    ) -> Result<(), StepsMisfit> {
-        let newer = self.ranges.borrow_mut().take_steps(steps)?;
-        self.raise(|known| &mut known.ranges, as_of);
+    /// [`StepsError`] when they don't go on from the known map; nothing is taken over then.
+    fn apply_range_steps(&self, as_of: Revision, steps: Vec<RangesStep>) -> Result<(), StepsError> {
+        let newer = self.ranges.borrow_mut().apply_steps(steps)?;
+        self.raise_revision(|known| &mut known.ranges, as_of);
         if newer {
-            self.tell_newest_ranges();
+            self.publish_ranges();
         }
         Ok(())
     }
 
     /// Tells the request duty and readers that there is a newer map of ranges.
-    fn tell_newest_ranges(&self) {
+    fn publish_ranges(&self) {
         let ranges = self.ranges.borrow();
         let Some(newest) = ranges.newest() else { return };
-        self.told.ranges.send_replace(Arc::new(newest.value.clone()));
+        self.senders.ranges.send_replace(Arc::new(newest.value.clone()));
         self.changed.notify_waiters();
     }
 
     /// Which word about crowded owners is known.
     fn admission_stamp(&self) -> AnnouncementStamp {
-        self.told.admissions.borrow().stamp
+        self.senders.admissions.borrow().stamp
     }
 
     /// Whether this life of a target is listed.
-    pub(crate) fn lists(&self, life: &TargetInstance) -> bool {
-        self.targets().get(&life.id).is_some_and(|entry| entry.instance() == *life)
+    pub(crate) fn is_listed(&self, instance: &TargetInstance) -> bool {
+        self.targets().get(&instance.id).is_some_and(|entry| entry.instance() == *instance)
     }
 
     /// Whether no owner is known to be crowded, and no target to name a limit.
     pub(crate) fn has_no_admissions(&self) -> bool {
-        let told = self.told.admissions.borrow();
-        told.services.is_empty() && told.limits.is_empty()
+        let table = self.senders.admissions.borrow();
+        table.services.is_empty() && table.limits.is_empty()
     }
 
     /// Takes over the holder's word about crowded owners; an older one is ignored.
-    pub(crate) fn note_admissions(&self, new: AdmissionTable) {
+    pub(crate) fn apply_admissions(&self, new: AdmissionTable) {
         if new.stamp > self.admission_stamp() {
-            self.told.admissions.send_replace(Arc::new(new));
+            self.senders.admissions.send_replace(Arc::new(new));
             self.changed.notify_waiters();
         }
     }
 
     /// Takes over a mandate; an older one is ignored.
-    pub(crate) fn note_mandate(&self, new: &Stored<MandateRecord>) {
+    pub(crate) fn apply_mandate(&self, new: &Stored<MandateRecord>) {
         let mut mandate = self.mandate.borrow_mut();
         if mandate.as_ref().is_none_or(|known| new.revision > known.revision) {
             let holder = mandate.as_ref().map(|known| (known.value.vm.clone(), known.value.vacant));
@@ -418,8 +415,8 @@
     }
 
     /// Takes over which zones are evacuated; what is older than known is ignored.
-    pub(crate) fn note_evacuations(&self, new: Stored<EvacuatedZones>) {
-        self.raise(|known| &mut known.evacuations, new.revision);
+    pub(crate) fn apply_evacuations(&self, new: Stored<EvacuatedZones>) {
+        self.raise_revision(|known| &mut known.evacuations, new.revision);
         let mut known = self.evacuations.borrow_mut();
         if new.revision <= known.revision {
             return;
@@ -437,19 +434,19 @@
         }
         log_evacuations(&known.value, &new.value);
         *known = new;
-        self.told.evacuations.send_replace(Arc::new(known.value.clone()));
+        self.senders.evacuations.send_replace(Arc::new(known.value.clone()));
         self.changed.notify_waiters();
     }
 
     /// The VMs that take requests, as the mandate's holder last told.
     pub(crate) fn fleet(&self) -> Arc<FleetTable> {
-        Arc::clone(&self.told.fleet.borrow())
+        Arc::clone(&self.senders.fleet.borrow())
     }
 
     /// Takes over which VMs take requests; an older word is ignored.
-    pub(crate) fn note_fleet(&self, new: FleetTable) {
+    pub(crate) fn apply_fleet(&self, new: FleetTable) {
         if new.stamp > self.fleet().stamp {
-            self.told.fleet.send_replace(Arc::new(new));
+            self.senders.fleet.send_replace(Arc::new(new));
             self.changed.notify_waiters();
         }
     }
@@ -461,9 +458,13 @@
     }
 
     /// Notes that a part is known up to `as_of`, unless it is known further.
-    fn raise(&self, part: impl Fn(&mut KnownRevisions) -> &mut Option<Revision>, as_of: Revision) {
+    fn raise_revision(
+        &self,
+        field: impl Fn(&mut KnownRevisions) -> &mut Option<Revision>,
+        as_of: Revision,
+    ) {
         let mut known = self.known.get();
-        let revision = part(&mut known);
+        let revision = field(&mut known);
         if revision.is_none_or(|revision| revision < as_of) {
             *revision = Some(as_of);
         }
--- a/crates/nickellead_gateway/src/cluster_state/ranges.rs
+++ b/crates/nickellead_gateway/src/cluster_state/ranges.rs
@@ -16,7 +16,7 @@
 ///
 /// The map is written three times a second, so they reach back 20 seconds: longer than a reader
 /// takes to find another source.
-const STEPS_KEPT: usize = 64;
+const MAX_RECENT_STEPS: usize = 64;
 
 /// From one map of ranges to the next one that a VM had.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -40,7 +40,7 @@
 
 /// Why steps can't be taken; the map that was known stays.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum StepsMisfit {
+pub enum StepsError {
     /// No step starts at the known map, or a whole map is needed.
     #[error("no step starts at revision {}, which is known", known)]
     NoStart {
@@ -76,7 +76,7 @@
     /// The last steps, each from where the one before it ends; the last one ends at the newest map.
     steps: VecDeque<RangesStep>,
     /// Whether a step did not apply to the newest map, so that a whole one is needed.
-    doubted: bool,
+    needs_whole_map: bool,
 }
 
 impl RangesHistory {
@@ -89,22 +89,22 @@
     /// From which revision steps can be taken; 0 when a whole map is needed.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        let sure = self.newest.as_ref().filter(|_| !self.doubted);
-        sure.map_or(Revision::default(), |newest| newest.revision)
+        let base = self.newest.as_ref().filter(|_| !self.needs_whole_map);
+        base.map_or(Revision::default(), |newest| newest.revision)
     }
 
     /// Takes a whole map, unless it is older; tells whether it is the newest now.
-    pub fn take_whole(&mut self, new: Stored<RangeMap>) -> bool {
+    pub fn apply_whole(&mut self, new: Stored<RangeMap>) -> bool {
         match &self.newest {
             Some(known) if new.revision < known.revision => return false,
-            Some(known) if new.revision == known.revision && !self.doubted => return false,
-            Some(known) if !self.doubted => match step_between(known, &new) {
-                Some(step) => self.keep_step(step),
+            Some(known) if new.revision == known.revision && !self.needs_whole_map => return false,
+            Some(known) if !self.needs_whole_map => match step_between(known, &new) {
+                Some(step) => self.push_step(step),
                 None => self.steps.clear(),
             },
             _ => self.steps.clear(),
         }
-        self.doubted = false;
+        self.needs_whole_map = false;
         self.newest = Some(new);
         true
     }
@@ -113,8 +113,8 @@
     /// map came of it.
     ///
     /// # Errors
-    /// [`StepsMisfit`]; nothing is taken then.
-    pub fn take_steps(&mut self, steps: Vec<RangesStep>) -> Result<bool, StepsMisfit> {
+    /// [`StepsError`]; nothing is taken then.
+    pub fn apply_steps(&mut self, steps: Vec<RangesStep>) -> Result<bool, StepsError> {
         check_order(&steps)?;
         let known = self.revision();
         if steps.last().is_none_or(|last| last.to <= known) {
@@ -122,15 +122,15 @@
         }
         let start = steps.iter().position(|step| step.from == known);
         let (Some(start), Some(newest)) = (start, &self.newest) else {
-            return Err(StepsMisfit::NoStart { known });
+            return Err(StepsError::NoStart { known });
         };
-        let made = apply_steps(newest, &steps[start..]);
-        if made.is_err() {
-            self.doubted = true;
+        let result = fold_steps(newest, &steps[start..]);
+        if result.is_err() {
+            self.needs_whole_map = true;
             self.steps.clear();
         }
-        self.newest = Some(made?);
-        steps.into_iter().skip(start).for_each(|step| self.keep_step(step));
+        self.newest = Some(result?);
+        steps.into_iter().skip(start).for_each(|step| self.push_step(step));
         Ok(true)
     }
 
@@ -138,9 +138,9 @@
     ///
     /// `None` when its map is as new as the newest one here.
     #[must_use]
-    pub fn since(&self, mark: Revision) -> Option<RangesUpdate> {
-        let newest = self.newest.as_ref().filter(|newest| mark < newest.revision)?;
-        let steps = self.steps_from(mark).filter(|steps| is_shorter(steps, &newest.value));
+    pub fn since(&self, from: Revision) -> Option<RangesUpdate> {
+        let newest = self.newest.as_ref().filter(|newest| from < newest.revision)?;
+        let steps = self.steps_from(from).filter(|steps| is_shorter(steps, &newest.value));
         Some(steps.map_or_else(|| RangesUpdate::Whole(newest.clone()), RangesUpdate::Steps))
     }
 
@@ -150,9 +150,9 @@
         Some(self.steps.range(start..).cloned().collect())
     }
 
-    fn keep_step(&mut self, step: RangesStep) {
+    fn push_step(&mut self, step: RangesStep) {
         self.steps.push_back(step);
-        if self.steps.len() > STEPS_KEPT {
+        if self.steps.len() > MAX_RECENT_STEPS {
             self.steps.pop_front();
         }
     }
@@ -166,16 +166,16 @@
 
 /// Whether steps take less to tell than the whole map: they have fewer ranges.
 fn is_shorter(steps: &[RangesStep], map: &RangeMap) -> bool {
-    let told: usize = steps.iter().map(|step| step.change.range_count()).sum();
-    told < map.services.values().map(Vec::len).sum()
+    let step_ranges: usize = steps.iter().map(|step| step.change.range_count()).sum();
+    step_ranges < map.services.values().map(Vec::len).sum()
 }
 
 /// Fails unless each step goes forward, from where the one before it ends.
-fn check_order(steps: &[RangesStep]) -> Result<(), StepsMisfit> {
+fn check_order(steps: &[RangesStep]) -> Result<(), StepsError> {
     let mut reached = steps.first().map_or(Revision::default(), |first| first.from);
     for RangesStep { from, to, .. } in steps {
         if *from != reached || to <= from {
-            return Err(StepsMisfit::Broken { from: *from, to: *to, reached });
+            return Err(StepsError::Broken { from: *from, to: *to, reached });
         }
         reached = *to;
     }
@@ -183,16 +183,16 @@
 }
 
 /// The map that steps make of the one that the first of them starts at.
-fn apply_steps(
+fn fold_steps(
     base: &Stored<RangeMap>,
     steps: &[RangesStep],
-) -> Result<Stored<RangeMap>, StepsMisfit> {
-    let mut made = base.clone();
+) -> Result<Stored<RangeMap>, StepsError> {
+    let mut result = base.clone();
     for step in steps {
         let to = step.to;
-        let applied = step.change.apply(&made.value);
-        let value = applied.map_err(|error| StepsMisfit::Refused { to, error })?;
-        made = Stored { revision: to, value };
+        let applied = step.change.apply(&result.value);
+        let value = applied.map_err(|error| StepsError::Refused { to, error })?;
+        result = Stored { revision: to, value };
     }
-    Ok(made)
+    Ok(result)
 }
--- a/crates/nickellead_gateway/src/cluster_state/targets.rs
+++ b/crates/nickellead_gateway/src/cluster_state/targets.rs
@@ -10,16 +10,16 @@
 use crate::{Revision, StoreEra, TargetChange, TargetEntry, TargetList, TargetState};
 
 /// Changes of targets kept for other VMs; a VM that is further behind gets the whole list.
-const CHANGES_KEPT: usize = 512;
+const MAX_RECENT_CHANGES: usize = 512;
 /// After the store's return, entries that lapsed meanwhile are back within this time.
 ///
 /// The users' letter says "within about two seconds".
-pub(crate) const LAPSE_TIME: Duration = Duration::from_millis(2_200);
+pub(crate) const EXPIRY_GRACE: Duration = Duration::from_millis(2_200);
 /// An entry that a copy of the store brought back, though its target is known to have gone, stands this long
 /// after the store's return only if the target lives: else it has not been written for three heartbeats.
-const WITHHELD_TIME: Duration = Duration::from_secs(10);
+const WITHHOLD_PERIOD: Duration = Duration::from_secs(10);
 /// How long it is kept in mind which targets have gone: longer than a copy of the store is old.
-const DEPARTED_TIME: Duration = Duration::from_secs(60);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Who told changes of targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,12 +41,12 @@
 
 /// The targets of one VM's book.
 #[derive(Default)]
-pub(super) struct TargetPart {
+pub(super) struct TargetsState {
     pub(super) list: TargetList,
     /// Revision of the store up to which the list tells everything; `None` before it was read whole.
-    pub(super) reached: Option<Revision>,
+    pub(super) revision: Option<Revision>,
     /// Entries that are gone from the store, and when they are taken as gone.
-    pub(super) lapsing: BTreeMap<String, Instant>,
+    pub(super) expiring: BTreeMap<String, Instant>,
     /// Lives of targets that have gone, and when they went, by identity.
     departed: BTreeMap<String, (TargetInstance, Instant)>,
     /// Entries of such lives that a copy of the store brought back, and when they are listed all the same.
@@ -56,32 +56,32 @@
     /// When that era began, as far as is known here; `None` in the first one.
     returned: Option<Instant>,
     /// When each entry was heard as it is: what it says of being cold counts from then.
-    heard: BTreeMap<String, Instant>,
+    updated_at: BTreeMap<String, Instant>,
     /// Names whose entries can't be read.
     unreadable: BTreeSet<String>,
     /// The last changes with their numbers, oldest first.
     changes: VecDeque<(u64, TargetChange)>,
     /// Number of the last change.
-    pub(super) number: u64,
+    pub(super) last_change: u64,
     /// The whole list as of a change's number, packed for the first reader that needed it.
     packed: Option<(u64, Packed<TargetList>)>,
 }
 
-impl TargetPart {
+impl TargetsState {
     /// Takes in changes; an entry that is gone stays until `lapse` if it may only have lapsed.
-    pub(super) fn take_all(
+    pub(super) fn apply_all(
         &mut self,
         changes: Vec<TargetChange>,
-        lapse: Option<Instant>,
+        remove_at: Option<Instant>,
         origin: ChangeOrigin,
     ) {
         let mut counts = ChangeCounts::default();
         for change in changes {
             counts.add(self.state_change(&change));
-            self.take(change, lapse, origin);
+            self.apply(change, remove_at, origin);
         }
         if origin == ChangeOrigin::OtherVm {
-            log_counts(counts, self.number);
+            log_counts(counts, self.last_change);
         }
     }
 
@@ -90,7 +90,7 @@
         match change {
             TargetChange::Listed(entry) => {
                 let known = self.list.get(&entry.id).map(|known| known.state);
-                (known != Some(entry.state)).then(|| state_word(entry.state))
+                (known != Some(entry.state)).then(|| state_name(entry.state))
             }
             TargetChange::Gone(id) | TargetChange::Unreadable(id) => {
                 self.list.contains_key(id).then_some(GONE)
@@ -98,7 +98,7 @@
         }
     }
 
-    fn take(&mut self, change: TargetChange, lapse: Option<Instant>, origin: ChangeOrigin) {
+    fn apply(&mut self, change: TargetChange, remove_at: Option<Instant>, origin: ChangeOrigin) {
         match change {
             TargetChange::Listed(entry) => self.list_entry(entry, origin),
             TargetChange::Unreadable(id) => {
@@ -112,9 +112,9 @@
                 self.unreadable.remove(&id);
                 self.withheld.remove(&id);
                 let Some(entry) = self.list.get(&id) else { return };
-                match lapse {
+                match remove_at {
                     Some(until) if entry.state == TargetState::Ready => {
-                        self.lapsing.entry(id).or_insert(until);
+                        self.expiring.entry(id).or_insert(until);
                     }
                     _ => self.remove(&id, origin),
                 }
@@ -127,7 +127,7 @@
     pub(super) fn enter_era(&mut self, era: StoreEra, now: Instant) -> Option<Revision> {
         let rose = self.era < era;
         self.era = self.era.max(era);
-        let reached = self.reached.filter(|_| rose)?;
+        let reached = self.revision.filter(|_| rose)?;
         self.returned = Some(now);
         Some(reached)
     }
@@ -136,12 +136,12 @@
     /// has lost: it lists them until they have not been written for some heartbeats.
     pub(super) fn withhold(&mut self, list: TargetList) -> Vec<TargetChange> {
         self.withheld.retain(|id, _| list.contains_key(id));
-        let returned = self.returned.filter(|returned| returned.elapsed() < WITHHELD_TIME);
+        let returned = self.returned.filter(|returned| returned.elapsed() < WITHHOLD_PERIOD);
         let mut changes = Vec::with_capacity(list.len());
         for (id, entry) in list {
-            match returned.filter(|returned| self.went_before(&entry, *returned)) {
+            match returned.filter(|returned| self.departed_before(&entry, *returned)) {
                 Some(returned) => {
-                    self.withheld.insert(id, (entry, returned + WITHHELD_TIME));
+                    self.withheld.insert(id, (entry, returned + WITHHOLD_PERIOD));
                 }
                 None => changes.push(TargetChange::Listed(entry)),
             }
@@ -150,30 +150,30 @@
     }
 
     /// Whether this life of a target is known to have gone before the store came back.
-    fn went_before(&self, entry: &TargetEntry, returned: Instant) -> bool {
+    fn departed_before(&self, entry: &TargetEntry, returned: Instant) -> bool {
         let departed = self.departed.get(&entry.id).filter(|_| !self.list.contains_key(&entry.id));
-        departed.is_some_and(|(life, gone)| *life == entry.instance() && *gone <= returned)
+        departed.is_some_and(|(instance, gone)| *instance == entry.instance() && *gone <= returned)
     }
 
     /// When the next entry that lapsed is taken as gone, or one that was withheld is listed.
     pub(super) fn next_due(&self) -> Option<Instant> {
         let withheld = self.withheld.values().map(|(_, due)| due);
-        self.lapsing.values().chain(withheld).min().copied()
+        self.expiring.values().chain(withheld).min().copied()
     }
 
     /// Takes entries as gone that lapsed long enough ago, and lists those that were withheld long enough.
-    pub(super) fn settle_due(&mut self, now: Instant) {
-        let lapsed = self.lapsing.iter().filter(|(_, until)| **until <= now);
-        let lapsed: Vec<String> = lapsed.map(|(id, _)| id.clone()).collect();
-        lapsed.into_iter().for_each(|id| self.remove(&id, ChangeOrigin::Store));
-        let stands = self.withheld.values().filter(|(_, due)| *due <= now);
-        let stands: Vec<TargetEntry> = stands.map(|(entry, _)| entry.clone()).collect();
+    pub(super) fn apply_due(&mut self, now: Instant) {
+        let expired = self.expiring.iter().filter(|(_, until)| **until <= now);
+        let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
+        expired.into_iter().for_each(|id| self.remove(&id, ChangeOrigin::Store));
+        let released = self.withheld.values().filter(|(_, due)| *due <= now);
+        let released: Vec<TargetEntry> = released.map(|(entry, _)| entry.clone()).collect();
         // Listed ones are withheld no more.
-        stands.into_iter().for_each(|entry| self.list_entry(entry, ChangeOrigin::Store));
+        released.into_iter().for_each(|entry| self.list_entry(entry, ChangeOrigin::Store));
     }
 
     fn list_entry(&mut self, mut entry: TargetEntry, origin: ChangeOrigin) {
-        self.lapsing.remove(&entry.id);
+        self.expiring.remove(&entry.id);
         self.unreadable.remove(&entry.id);
         self.withheld.remove(&entry.id);
         let known = self.list.get(&entry.id);
@@ -186,18 +186,18 @@
         if known.map(|known| known.state) != Some(entry.state) && origin == ChangeOrigin::Store {
             log_listed(&entry);
         }
-        self.heard.insert(entry.id.clone(), Instant::now());
+        self.updated_at.insert(entry.id.clone(), Instant::now());
         self.push(TargetChange::Listed(entry.clone()));
         self.list.insert(entry.id.clone(), entry);
     }
 
     /// Takes an entry as gone.
     pub(super) fn remove(&mut self, id: &str, origin: ChangeOrigin) {
-        self.lapsing.remove(id);
-        self.heard.remove(id);
+        self.expiring.remove(id);
+        self.updated_at.remove(id);
         if let Some(entry) = self.list.remove(id) {
             let now = Instant::now();
-            self.departed.retain(|_, (_, gone)| now - *gone < DEPARTED_TIME);
+            self.departed.retain(|_, (_, gone)| now - *gone < DEPARTED_RETENTION);
             self.departed.insert(id.to_owned(), (entry.instance(), now));
             if origin == ChangeOrigin::Store {
                 log_target(id, &entry.service, GONE);
@@ -207,21 +207,21 @@
     }
 
     fn push(&mut self, change: TargetChange) {
-        self.number += 1;
-        self.changes.push_back((self.number, change));
-        if self.changes.len() > CHANGES_KEPT {
+        self.last_change += 1;
+        self.changes.push_back((self.last_change, change));
+        if self.changes.len() > MAX_RECENT_CHANGES {
             self.changes.pop_front();
         }
     }
 
     /// How much longer a target is cold by its entry.
     pub(super) fn cold_left(&self, entry: &TargetEntry) -> Duration {
-        let age = self.heard.get(&entry.id).map_or(Duration::ZERO, Instant::elapsed);
+        let age = self.updated_at.get(&entry.id).map_or(Duration::ZERO, Instant::elapsed);
         entry.cold_left.saturating_sub(age)
     }
 
     /// An entry as it would be told now: its cold time does not begin again with each VM that tells it.
-    fn as_of_now(&self, entry: &TargetEntry) -> TargetEntry {
+    fn with_current_cold_time(&self, entry: &TargetEntry) -> TargetEntry {
         TargetEntry { cold_left: self.cold_left(entry), ..entry.clone() }
     }
 
@@ -229,31 +229,33 @@
     pub(super) fn packed(&mut self) -> Result<Packed<TargetList>, PackedError> {
         let is_cold = |entry: &TargetEntry| !entry.cold_left.is_zero();
         if self.list.values().any(is_cold) {
-            let told = |(id, entry): (&String, &TargetEntry)| (id.clone(), self.as_of_now(entry));
-            return Packed::pack(&self.list.iter().map(told).collect::<TargetList>());
+            let current = |(id, entry): (&String, &TargetEntry)| {
+                (id.clone(), self.with_current_cold_time(entry))
+            };
+            return Packed::pack(&self.list.iter().map(current).collect::<TargetList>());
         }
         match &self.packed {
-            Some((number, packed)) if *number == self.number => Ok(packed.clone()),
+            Some((number, packed)) if *number == self.last_change => Ok(packed.clone()),
             _ => {
                 let packed = Packed::pack(&self.list)?;
-                self.packed = Some((self.number, packed.clone()));
+                self.packed = Some((self.last_change, packed.clone()));
                 Ok(packed)
             }
         }
     }
 
     /// The changes after a number; `None` when they are not all kept.
-    pub(super) fn since(&self, number: u64) -> Option<Vec<TargetChange>> {
-        let oldest = self.changes.front().map_or(self.number, |(first, _)| first - 1);
-        if number < oldest || number > self.number {
+    pub(super) fn changes_since(&self, number: u64) -> Option<Vec<TargetChange>> {
+        let oldest = self.changes.front().map_or(self.last_change, |(first, _)| first - 1);
+        if number < oldest || number > self.last_change {
             return None;
         }
         let new = self.changes.iter().filter(|(one, _)| *one > number);
-        let told = |change: &TargetChange| match change {
-            TargetChange::Listed(entry) => TargetChange::Listed(self.as_of_now(entry)),
+        let current = |change: &TargetChange| match change {
+            TargetChange::Listed(entry) => TargetChange::Listed(self.with_current_cold_time(entry)),
             TargetChange::Gone(_) | TargetChange::Unreadable(_) => change.clone(),
         };
-        Some(new.map(|(_, change)| told(change)).collect())
+        Some(new.map(|(_, change)| current(change)).collect())
     }
 }
 
@@ -272,7 +274,7 @@
 const DRAINING: &str = "draining";
 const GONE: &str = "gone";
 
-const fn state_word(state: TargetState) -> &'static str {
+const fn state_name(state: TargetState) -> &'static str {
     match state {
         TargetState::Ready => READY,
         TargetState::Draining => DRAINING,
@@ -294,7 +296,7 @@
 }
 
 fn log_listed(entry: &TargetEntry) {
-    let state = state_word(entry.state);
+    let state = state_name(entry.state);
     let cold = entry.cold_left.as_millis();
     let mut pairs: Vec<(&str, &dyn std::fmt::Display)> = vec![
         ("target", &entry.id),
--- a/crates/nickellead_gateway/src/cluster_state/updates.rs
+++ b/crates/nickellead_gateway/src/cluster_state/updates.rs
@@ -22,7 +22,7 @@
     /// Number of the last change of targets taken from it; `None` before its whole list was taken.
     pub(crate) targets: Option<u64>,
     /// The store's revision up to which the reader knows the targets, whoever told them.
-    pub(crate) targets_reached: Option<Revision>,
+    pub(crate) targets_revision: Option<Revision>,
     /// Newest content of the declarations that it announced, or that the reader knows.
     pub(crate) declared: Option<DeclaredState>,
     /// Revision of the reader's map of ranges, whichever book it came from; 0 for none.
@@ -41,12 +41,12 @@
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub(crate) struct StateUpdate {
     /// Where the reader's copy now reaches.
-    pub(crate) mark: StateCursor,
+    pub(crate) cursor: StateCursor,
     /// The store's revision that the declarations of the mark are as of.
     pub(crate) declarations_as_of: Revision,
     /// Whether the mark announces declarations that the reader did not know of. They are asked for
     /// apart, so that they hold nothing back.
-    pub(crate) announces: bool,
+    pub(crate) announces_declarations: bool,
     /// What is new of the targets; `None` while the reader knows newer ones.
     pub(crate) targets: Option<TargetsUpdate>,
     /// The store's revision that the ranges are as of.
@@ -71,7 +71,7 @@
     /// Whether a watch of the store may go on from there: not so while entries are kept that the store
     /// does not list, because they may only have lapsed.
     pub(crate) watchable: bool,
-    pub(crate) news: TargetsPayload,
+    pub(crate) payload: TargetsPayload,
 }
 
 /// How the targets come to be as they are.
@@ -95,14 +95,14 @@
 
 impl TargetsUpdate {
     fn is_empty(&self) -> bool {
-        matches!(&self.news, TargetsPayload::Changes(changes) if changes.is_empty())
+        matches!(&self.payload, TargetsPayload::Changes(changes) if changes.is_empty())
     }
 }
 
 impl StateUpdate {
     /// Whether there is nothing new.
     pub(crate) fn is_empty(&self) -> bool {
-        !self.announces
+        !self.announces_declarations
             && self.targets.as_ref().is_none_or(TargetsUpdate::is_empty)
             && self.ranges.is_none()
             && self.mandate.is_none()
@@ -114,10 +114,10 @@
 
 impl ClusterState {
     /// What a reader with this book knows, whomever it asks.
-    pub(crate) fn mark(&self) -> StateCursor {
+    pub(crate) fn cursor(&self) -> StateCursor {
         StateCursor {
             declared: self.newest_declared(),
-            targets_reached: self.targets_reached(),
+            targets_revision: self.targets_revision(),
             ranges: self.ranges_revision(),
             mandate: self.mandate().map(|known| known.revision).unwrap_or_default(),
             admissions: self.admission_stamp(),
@@ -128,68 +128,68 @@
     }
 
     /// What is new for a reader at `mark`.
-    pub(crate) fn news_since(&self, mark: StateCursor) -> StateUpdate {
+    pub(crate) fn update_since(&self, cursor: StateCursor) -> StateUpdate {
         let known = self.known.get();
-        let same = mark.incarnation == self.incarnation;
-        let mut news = StateUpdate {
-            mark: StateCursor { incarnation: self.incarnation, ..mark },
+        let same = cursor.incarnation == self.incarnation;
+        let mut update = StateUpdate {
+            cursor: StateCursor { incarnation: self.incarnation, ..cursor },
             declarations_as_of: known.declarations.unwrap_or_default(),
             ranges_as_of: known.ranges.unwrap_or_default(),
             ..StateUpdate::default()
         };
-        self.announce_declarations(&mut news);
-        self.tell_target_news(&mut news, same);
-        self.tell_ranges(&mut news);
-        self.tell_mandate(&mut news);
-        self.tell_admissions(&mut news);
-        self.tell_fleet(&mut news);
-        self.tell_evacuations(&mut news);
-        news
+        self.announce_declarations(&mut update);
+        self.add_targets(&mut update, same);
+        self.add_ranges(&mut update);
+        self.add_mandate(&mut update);
+        self.add_admissions(&mut update);
+        self.add_fleet(&mut update);
+        self.add_evacuations(&mut update);
+        update
     }
 
     /// Announces the declarations, unless the reader knows of these.
-    fn announce_declarations(&self, news: &mut StateUpdate) {
+    fn announce_declarations(&self, update: &mut StateUpdate) {
         let newest = self.newest_declared();
-        news.announces = newest.is_some() && newest != news.mark.declared;
-        news.mark.declared = newest;
+        update.announces_declarations = newest.is_some() && newest != update.cursor.declared;
+        update.cursor.declared = newest;
     }
 
     /// Adds the changes of targets, or all targets for a reader that has none of this book's changes.
     ///
     /// A reader that comes from the store may know newer targets than this VM, or this VM may not have
     /// read them yet: the reader keeps what it has until this VM has caught up.
-    fn tell_target_news(&self, news: &mut StateUpdate, same: bool) {
-        let from = news.mark.targets.take().filter(|_| same);
-        let mut part = self.targets.borrow_mut();
-        let Some(as_of) = part.reached else { return };
-        if from.is_none() && news.mark.targets_reached.is_some_and(|reached| reached > as_of) {
+    fn add_targets(&self, update: &mut StateUpdate, same: bool) {
+        let from = update.cursor.targets.take().filter(|_| same);
+        let mut targets = self.targets.borrow_mut();
+        let Some(as_of) = targets.revision else { return };
+        if from.is_none() && update.cursor.targets_revision.is_some_and(|reached| reached > as_of) {
             return;
         }
-        let told = match from.and_then(|from| part.since(from)) {
+        let payload = match from.and_then(|from| targets.changes_since(from)) {
             Some(changes) => TargetsPayload::Changes(changes),
-            None => match part.packed() {
+            None => match targets.packed() {
                 Ok(packed) => TargetsPayload::Whole(packed),
-                Err(error) => return log_untold("targets", &error),
+                Err(error) => return log_unsendable("targets", &error),
             },
         };
-        news.mark.targets = Some(part.number);
-        let watchable = self.known().targets.is_some() && part.lapsing.is_empty();
-        news.targets = Some(TargetsUpdate { as_of, watchable, news: told });
+        update.cursor.targets = Some(targets.last_change);
+        let watchable = self.known().targets.is_some() && targets.expiring.is_empty();
+        update.targets = Some(TargetsUpdate { as_of, watchable, payload });
     }
 
     /// Adds what is new of the ranges since the reader's map, whichever book that came from.
-    fn tell_ranges(&self, news: &mut StateUpdate) {
+    fn add_ranges(&self, update: &mut StateUpdate) {
         let ranges = self.ranges.borrow();
         let Some(newest) = ranges.newest() else { return };
-        news.ranges = match ranges.since(news.mark.ranges) {
+        update.ranges = match ranges.since(update.cursor.ranges) {
             Some(RangesUpdate::Steps(steps)) => Some(RangesPayload::Steps(steps)),
             Some(RangesUpdate::Whole(whole)) => match self.packed_ranges(&whole) {
                 Ok(packed) => Some(RangesPayload::Whole(packed)),
-                Err(error) => return log_untold("ranges", &error),
+                Err(error) => return log_unsendable("ranges", &error),
             },
             None => return,
         };
-        news.mark.ranges = newest.revision;
+        update.cursor.ranges = newest.revision;
     }
 
     /// A map of ranges, packed once for all readers that need it whole.
@@ -208,110 +208,110 @@
         }
     }
 
-    fn tell_mandate(&self, news: &mut StateUpdate) {
+    fn add_mandate(&self, update: &mut StateUpdate) {
         if let Some(mandate) = self.mandate.borrow().as_ref()
-            && news.mark.mandate < mandate.revision
+            && update.cursor.mandate < mandate.revision
         {
-            news.mark.mandate = mandate.revision;
-            news.mandate = Some(mandate.clone());
+            update.cursor.mandate = mandate.revision;
+            update.mandate = Some(mandate.clone());
         }
     }
 
-    fn tell_admissions(&self, news: &mut StateUpdate) {
-        let newest = self.told.admissions.borrow();
-        if news.mark.admissions < newest.stamp {
-            news.mark.admissions = newest.stamp;
-            news.admissions = Some(AdmissionTable::clone(&newest));
+    fn add_admissions(&self, update: &mut StateUpdate) {
+        let newest = self.senders.admissions.borrow();
+        if update.cursor.admissions < newest.stamp {
+            update.cursor.admissions = newest.stamp;
+            update.admissions = Some(AdmissionTable::clone(&newest));
         }
     }
 
-    fn tell_fleet(&self, news: &mut StateUpdate) {
+    fn add_fleet(&self, update: &mut StateUpdate) {
         let newest = self.fleet();
-        if news.mark.fleet < newest.stamp {
-            news.mark.fleet = newest.stamp;
-            news.fleet = Some(FleetTable::clone(&newest));
+        if update.cursor.fleet < newest.stamp {
+            update.cursor.fleet = newest.stamp;
+            update.fleet = Some(FleetTable::clone(&newest));
         }
     }
 
-    fn tell_evacuations(&self, news: &mut StateUpdate) {
+    fn add_evacuations(&self, update: &mut StateUpdate) {
         let newest = self.evacuations.borrow();
-        if news.mark.evacuations < newest.revision {
-            news.mark.evacuations = newest.revision;
-            news.evacuations = Some(newest.clone());
+        if update.cursor.evacuations < newest.revision {
+            update.cursor.evacuations = newest.revision;
+            update.evacuations = Some(newest.clone());
         }
     }
 
     /// Takes over another VM's news; gives the reader's next mark, or `None` when the news can't be
     /// used.
-    pub(crate) fn take_news(&self, news: StateUpdate) -> Option<StateCursor> {
-        let mut mark = news.mark;
-        self.take_announced(mark.declared, news.declarations_as_of);
-        if let Some(told) = news.targets
-            && !self.take_targets(told)?
+    pub(crate) fn apply_update(&self, update: StateUpdate) -> Option<StateCursor> {
+        let mut cursor = update.cursor;
+        self.apply_announced_declarations(cursor.declared, update.declarations_as_of);
+        if let Some(targets) = update.targets
+            && !self.apply_targets_update(targets)?
         {
             // The list was older than what is known here: the VM that told it has to catch up.
-            mark.targets = None;
+            cursor.targets = None;
         }
-        self.take_ranges(news.ranges_as_of, news.ranges)?;
-        if let Some(mandate) = &news.mandate {
-            self.note_mandate(mandate);
+        self.apply_ranges_update(update.ranges_as_of, update.ranges)?;
+        if let Some(mandate) = &update.mandate {
+            self.apply_mandate(mandate);
         }
-        if let Some(admissions) = news.admissions {
-            self.note_admissions(admissions);
+        if let Some(admissions) = update.admissions {
+            self.apply_admissions(admissions);
         }
-        if let Some(fleet) = news.fleet {
-            self.note_fleet(fleet);
+        if let Some(fleet) = update.fleet {
+            self.apply_fleet(fleet);
         }
-        if let Some(evacuations) = news.evacuations {
-            self.note_evacuations(evacuations);
+        if let Some(evacuations) = update.evacuations {
+            self.apply_evacuations(evacuations);
         }
-        mark.targets_reached = self.targets_reached();
-        mark.ranges = self.ranges_revision();
-        Some(mark)
+        cursor.targets_revision = self.targets_revision();
+        cursor.ranges = self.ranges_revision();
+        Some(cursor)
     }
 
     /// Notes which declarations another VM knows of, and as of when.
-    fn take_announced(&self, state: Option<DeclaredState>, as_of: Revision) {
+    fn apply_announced_declarations(&self, state: Option<DeclaredState>, as_of: Revision) {
         let Some(state) = state else { return };
-        self.note_announced(state);
+        self.record_announced_declarations(state);
         if self.declared_state() == Some(state) {
             // What is announced and not known yet must not be missed by a watch of the store.
-            self.note_declarations(as_of, None);
+            self.apply_stored_declarations(as_of, None);
         }
     }
 
     /// Takes over what another VM told of the targets, unless newer ones are known; `None` when it
     /// can't be read.
-    fn take_targets(&self, told: TargetsUpdate) -> Option<bool> {
-        let taken = match told.news {
+    fn apply_targets_update(&self, update: TargetsUpdate) -> Option<bool> {
+        let applied = match update.payload {
             TargetsPayload::Whole(packed) => {
                 let list = unpack("targets", &packed)?;
                 let listing = TargetListing { targets: list, ..TargetListing::default() };
-                self.take_target_list(told.as_of, listing, None, ChangeOrigin::OtherVm)
+                self.apply_target_list(update.as_of, listing, None, ChangeOrigin::OtherVm)
             }
             TargetsPayload::Changes(changes) => {
-                self.take_target_changes(told.as_of, changes, None, ChangeOrigin::OtherVm);
+                self.apply_target_changes(update.as_of, changes, None, ChangeOrigin::OtherVm);
                 true
             }
         };
-        if taken && !told.watchable {
+        if applied && !update.watchable {
             // A watch of the store from here would miss that some entries are gone.
             self.forget_targets_revision();
         }
-        Some(taken)
+        Some(applied)
     }
 
     /// Takes over what another VM told of the ranges; `None` when it does not fit what is known.
-    fn take_ranges(&self, as_of: Revision, news: Option<RangesPayload>) -> Option<()> {
-        let whole = match news {
+    fn apply_ranges_update(&self, as_of: Revision, payload: Option<RangesPayload>) -> Option<()> {
+        let whole = match payload {
             Some(RangesPayload::Steps(steps)) => {
-                let taken = self.note_ranges_steps(as_of, steps);
-                return taken.map_err(|misfit| log_unusable("ranges", &misfit)).ok();
+                let applied = self.apply_range_steps(as_of, steps);
+                return applied.map_err(|error| log_unusable("ranges", &error)).ok();
             }
             Some(RangesPayload::Whole(packed)) => Some(unpack("ranges", &packed)?),
             None => None,
         };
-        self.note_ranges(as_of, whole);
+        self.apply_ranges(as_of, whole);
         Some(())
     }
 }
@@ -322,7 +322,7 @@
 }
 
 /// Logs that a part can't be told to other VMs.
-fn log_untold(part: &str, reason: &dyn std::fmt::Display) {
+fn log_unsendable(part: &str, reason: &dyn std::fmt::Display) {
     log_event(EventName::PartUntold, &[("part", &part), ("reason", reason)]);
 }
 
--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -109,7 +109,7 @@
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what became of requests since the last look.
     pub(super) fn note_answers(&self, mut answers: HashMap<String, ResponseCounts>) {
-        let listed = self.book.targets();
+        let listed = self.cluster.targets();
         let now = BootClock.now();
         let mut figures = self.figures.borrow_mut();
         let born = |target: &String| listed.get(target).map(|entry| entry.born);
@@ -141,7 +141,7 @@
 
     /// Decides what crowded owners may be sent, and tells it with the limits that targets name.
     pub(super) fn tell_admissions(&self) {
-        let Some(term) = self.book.mandate().as_ref().map(MandateTerm::of) else { return };
+        let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let services = match self.policy.shared_admission.is_on() {
             true => self.limit_services(),
             false => BTreeMap::new(),
@@ -153,13 +153,13 @@
         }
         // That there are none any more is told for a while: some VMs may hear of nothing else.
         let over = now.since(self.limits_told.get()) < LIMITS_OVER_TOLD;
-        if services.is_empty() && limits.is_empty() && !over && self.book.has_no_admissions() {
+        if services.is_empty() && limits.is_empty() && !over && self.cluster.has_no_admissions() {
             return;
         }
         let word = self.admission_word.get() + 1;
         self.admission_word.set(word);
         let stamp = AnnouncementStamp { term, sequence: word };
-        self.book.note_admissions(AdmissionTable { stamp, services, limits });
+        self.cluster.apply_admissions(AdmissionTable { stamp, services, limits });
     }
 
     /// The ranges whose owners are crowded, by service; services without any are left out.
@@ -200,7 +200,7 @@
         ranges: &[&RangeRecord],
         load: &KeyLoad,
     ) -> Vec<AdmissionRange> {
-        let targets = self.book.targets();
+        let targets = self.cluster.targets();
         let mut figures = self.figures.borrow_mut();
         let (Some(known), Some(target)) = (figures.get_mut(owner), targets.get(owner)) else {
             return Vec::new();
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -26,11 +26,11 @@
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Who may own ranges now, by service.
     pub(super) fn candidates(&self) -> Vec<(String, Vec<OwnerCandidate>)> {
-        let targets = self.book.targets();
-        let Some(declared) = self.book.declarations() else {
+        let targets = self.cluster.targets();
+        let Some(declared) = self.cluster.declarations() else {
             return Vec::new();
         };
-        self.zones.borrow_mut().update(&self.book.evacuations().value, BootClock.now());
+        self.zones.borrow_mut().update(&self.cluster.evacuations().value, BootClock.now());
         let divided = declared.services.iter().filter(|(_, rule)| rule.sharded);
         let speeds = match self.policy.measured_speeds.is_on() {
             true => self.known_speeds(),
@@ -66,7 +66,7 @@
         let is_warm = |target: &TargetEntry| {
             let returned = zones.returned_at(&target.zone);
             let turned = returned.is_some_and(|since| now.since(since) < cold.duration);
-            !turned && self.book.cold_left(target).is_zero()
+            !turned && self.cluster.cold_left(target).is_zero()
         };
         unless_too_few(open, WARM_PART_LEAST, is_warm)
     }
--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -27,19 +27,20 @@
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Tells which VMs take requests, if that has changed.
     pub(super) fn tell_fleet(&self) {
-        let Some(term) = self.book.mandate().as_ref().map(MandateTerm::of) else { return };
+        let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let now = BootClock.now();
         let word = self.fleet_word.get().filter(|word| word.term == term);
         let Some(word) = word else {
             return self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
         };
         let vms: BTreeSet<_> = self.reporters.borrow().keys().copied().chain([self.mark]).collect();
-        let known = self.book.fleet();
+        let known = self.cluster.fleet();
         if now.since(word.since) < FLEET_PAUSE || known.vms == vms {
             return;
         }
         self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
         let word = if known.stamp.term == term { known.stamp.sequence + 1 } else { 1 };
-        self.book.note_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence: word }, vms });
+        self.cluster
+            .apply_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence: word }, vms });
     }
 }
--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -84,7 +84,7 @@
                 (None, None) => {}
             }
         }
-        limits.retain(|life, limit| self.book.lists(life) && !limit.is_forgotten(now));
+        limits.retain(|life, limit| self.cluster.is_listed(life) && !limit.is_forgotten(now));
     }
 
     /// The limits that targets name, to be told.
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -10,7 +10,7 @@
 use nickellead_time::BootClock;
 
 use super::ControlLoop;
-use crate::relay::{AwayRule, FollowOutcome};
+use crate::relay::{SubscriptionEnd, UnavailableStorePolicy};
 use crate::{OrderPort, StoreError, StorePort, Stored};
 
 /// VMs of a fleet that starts for the first time ask for the mandate spread over this time, weak ones
@@ -79,7 +79,7 @@
     /// Whether a VM that knows nothing yet goes on looking for another VM that tells it.
     fn seeks_on(&self, started: Timestamp) -> bool {
         let within = BootClock.now().since(started) < SEEK_TIME;
-        self.book.known().declarations.is_none() && within
+        self.cluster.known().declarations.is_none() && within
     }
 
     /// Has news from other VMs for as long as any tells them.
@@ -87,27 +87,27 @@
     /// While the store answers nobody, VMs keep their places: those that hear of its return first tell
     /// all others.
     async fn follow(&self, holder: SocketAddr) {
-        let mut rule = AwayRule::Leave;
+        let mut rule = UnavailableStorePolicy::Leave;
         loop {
             let outcome = tokio::select! {
-                outcome = self.relay.follow(holder, rule) => outcome,
+                outcome = self.relay.subscribe(holder, rule) => outcome,
                 () = self.hears_store(rule) => return,
             };
-            if outcome == FollowOutcome::Lost || self.read_mandate().await.is_ok() {
+            if outcome == SubscriptionEnd::NoUpstream || self.read_mandate().await.is_ok() {
                 return;
             }
-            rule = AwayRule::Stay;
+            rule = UnavailableStorePolicy::Stay;
         }
     }
 
     /// Waits until the store answers this VM though it does not answer the VM at the root.
-    async fn hears_store(&self, rule: AwayRule) {
-        if rule == AwayRule::Leave {
+    async fn hears_store(&self, rule: UnavailableStorePolicy) {
+        if rule == UnavailableStorePolicy::Leave {
             return std::future::pending().await;
         }
         loop {
             tokio::time::sleep(AWAY_LOOK.mul_f64(LOOK_LEAST + fastrand::f64() * LOOK_SPREAD)).await;
-            if self.relay.is_away() && self.read_mandate().await.is_ok() {
+            if self.relay.is_root_store_unavailable() && self.read_mandate().await.is_ok() {
                 return;
             }
         }
@@ -115,13 +115,13 @@
 
     /// Follows the store after the source was lost: a watch from what is known costs one call a part.
     async fn fall_back(&self) {
-        if !self.relay.has_readers() {
+        if !self.relay.has_subscribers() {
             tokio::time::sleep(FALL_BACK_SPREAD.mul_f64(fastrand::f64())).await;
-            return self.relay.fall_back();
+            return self.relay.watch_store();
         }
         // Others have their news from this VM, and need not follow it to the store if it is in touch
         // at once. An error is noted by what reads.
-        self.relay.fall_back();
+        self.relay.watch_store();
         let _ = self.read_mandate().await;
     }
 
@@ -142,7 +142,7 @@
     /// Follows the store once the time for finding another source is over.
     fn end_seeking(&self, started: Timestamp) {
         if BootClock.now().since(started) > SEEK_TIME {
-            self.relay.fall_back();
+            self.relay.watch_store();
         }
     }
 
@@ -163,7 +163,7 @@
         let read = read?;
         self.mandate.borrow_mut().note_era(self.store.era(), BootClock.now());
         if let Some(read) = &read {
-            self.book.note_mandate(read);
+            self.cluster.apply_mandate(read);
         }
         let holder = read.as_ref().filter(|read| !read.value.vacant && read.value.vm != self.vm);
         let address = holder.map(|read| read.value.address);
@@ -209,12 +209,12 @@
             BootClock.now(),
         );
         if let Some(seen) = self.mandate.borrow().seen() {
-            self.book.note_mandate(seen);
+            self.cluster.apply_mandate(seen);
         }
         if taken {
             log_event(EventName::MandateTaken, &[("vm", &self.vm)]);
             self.keeper.replace(None);
-            self.relay.set_leads(true);
+            self.relay.set_holds_mandate(true);
         }
         if answer.is_err() {
             self.read_mandate_anew().await;
@@ -231,7 +231,7 @@
         mandate.note_era(self.store.era(), now);
         if mandate.note_read(read, now) {
             self.keeper.replace(None);
-            self.relay.set_leads(false);
+            self.relay.set_holds_mandate(false);
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
                 [("vm", &self.vm), ("renewals", &mandate.renewals())];
             log_event(EventName::MandateLost, &pairs);
@@ -240,7 +240,7 @@
 
     /// Whether this VM has seen late orders and the map in the store does not say so.
     fn knows_unwritten_lateness(&self) -> bool {
-        let written = self.book.ranges().is_some_and(|ranges| ranges.value.late);
+        let written = self.cluster.ranges().is_some_and(|ranges| ranges.value.late);
         self.lateness.borrow().is_late(BootClock.now()) && !written
     }
 
@@ -270,7 +270,7 @@
             let done = answer.is_ok();
             if let Ok(revision) = answer {
                 // Those who follow this VM hear of it at once.
-                self.book.note_mandate(&Stored { revision, value: write.record });
+                self.cluster.apply_mandate(&Stored { revision, value: write.record });
             }
             log_event(EventName::MandateHandedOver, &[("done", &done)]);
         }
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -44,7 +44,7 @@
         {
             keeper.note_written(edit);
         }
-        self.book.note_ranges(revision, Some(Stored { revision, value: map }));
+        self.cluster.apply_ranges(revision, Some(Stored { revision, value: map }));
     }
 
     /// After a write that failed: did it succeed all the same, or did somebody else write?
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -36,7 +36,7 @@
 use crate::evacuation::ZoneStates;
 use crate::load_counter::{LoadCounter, VmId};
 use crate::metrics::ControlMetrics;
-use crate::relay::{UpdateRelay, serve_news};
+use crate::relay::{UpdateRelay, serve_updates};
 use crate::state_channels::StateSenders;
 use crate::store_health::StoreHealth;
 use crate::store_watch::StoreWatcher;
@@ -80,7 +80,7 @@
     store: Rc<S>,
     orders: Rc<O>,
     health: Rc<StoreHealth>,
-    book: Rc<ClusterState>,
+    cluster: Rc<ClusterState>,
     relay: Rc<UpdateRelay>,
     mandate: RefCell<MandateState>,
     /// Stands while this VM holds the mandate, also when it ran out.
@@ -132,13 +132,13 @@
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     fn new(parts: ControlContext, store: S, orders: O) -> Rc<Self> {
         let health = Rc::new(StoreHealth::new(parts.metrics.clone()));
-        let book = Rc::new(ClusterState::new(parts.incarnation, parts.beliefs));
+        let cluster = Rc::new(ClusterState::new(parts.incarnation, parts.beliefs));
         let address = parts.announced_address;
         let mark = VmId::new(&parts.vm, &parts.zone);
         let relay = UpdateRelay::new(
             parts.zone,
             address,
-            Rc::clone(&book),
+            Rc::clone(&cluster),
             Rc::clone(&health),
             parts.keys.clone(),
             mark,
@@ -149,7 +149,7 @@
             store: Rc::new(store),
             orders: Rc::new(orders),
             health,
-            book,
+            cluster,
             relay,
             mandate: RefCell::new(mandate),
             keeper: RefCell::new(None),
@@ -184,12 +184,12 @@
     fn start_news(&self, peers: TcpListener) {
         // Only a listener outside a runtime fails here, and this function runs inside one.
         if let Ok(listener) = tokio::net::TcpListener::from_std(peers) {
-            actix_rt::spawn(serve_news(Rc::clone(&self.relay), listener));
+            actix_rt::spawn(serve_updates(Rc::clone(&self.relay), listener));
         }
         let follower = StoreWatcher {
             store: Rc::clone(&self.store),
             health: Rc::clone(&self.health),
-            book: Rc::clone(&self.book),
+            book: Rc::clone(&self.cluster),
             relay: Rc::clone(&self.relay),
             follows_evacuations: self.follows_evacuations,
         };
@@ -235,7 +235,7 @@
     duty.wait_to_give_back().await;
     ranges.abort();
     duty.give_back().await;
-    duty.relay.fall_back();
+    duty.relay.watch_store();
     // The request duty still needs news until the process ends.
     std::future::pending::<()>().await;
 }
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -74,7 +74,7 @@
         for holder in self.keys.take_leaving() {
             self.note_leaving(&holder, "request");
         }
-        self.leaving.borrow_mut().retain(|holder| self.book.lists(holder));
+        self.leaving.borrow_mut().retain(|holder| self.cluster.is_listed(holder));
     }
 
     /// Notes a target that said that it leaves: it is to own no keys.
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -87,7 +87,7 @@
     /// Takes in the mandate that another VM told, as soon as it is told.
     fn note_told_mandate(&self, now: Timestamp) {
         if !self.mandate.borrow().is_held() {
-            let told = self.book.mandate();
+            let told = self.cluster.mandate();
             self.mandate.borrow_mut().note_read(told, now);
         }
     }
@@ -117,7 +117,7 @@
         let Some(writer) = self.keeper_writer() else { return false };
         let foreign =
             |stored: &Stored<RangeMap>| stored.revision > known && stored.value.writer != writer;
-        self.book.ranges().as_ref().is_some_and(foreign)
+        self.cluster.ranges().as_ref().is_some_and(foreign)
     }
 
     /// Reads the map and makes a keeper of it; tells whether that succeeded.
@@ -130,7 +130,7 @@
         };
         let now = BootClock.now();
         self.map_revision.set(snapshot.value.as_ref().map(|found| found.revision));
-        let known = self.book.ranges();
+        let known = self.cluster.ranges();
         let inherited = InheritedMap::newest(snapshot.value, known, snapshot.as_of.era);
         let settings = keeper_settings(&self.ownership);
         let predecessors = self.mandate.borrow_mut().take_predecessors();
--- a/crates/nickellead_gateway/src/lib.rs
+++ b/crates/nickellead_gateway/src/lib.rs
@@ -41,7 +41,7 @@
 mod waiting;
 mod worker;
 
-pub use cluster_state::{RangesHistory, RangesStep, RangesUpdate, StepsMisfit};
+pub use cluster_state::{RangesHistory, RangesStep, RangesUpdate, StepsError};
 pub use declared::{
     AppliedUpdate, CallerLimits, ChangeError, ColdRule, Declarations, DeclarationsChange,
     DeclarationsHistory, DeclaredState, DeclaredStep, DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS,
--- a/crates/nickellead_gateway/src/relay/messages.rs
+++ b/crates/nickellead_gateway/src/relay/messages.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Encode, Decode)]
 pub(super) enum RelayRequest {
     /// What is new?
-    News(Box<UpdateRequest>),
+    Updates(Box<UpdateRequest>),
     /// What are the declarations? With what the reader knows of them.
     ///
     /// They are asked for apart: a large change of them must not hold back the rest.
@@ -29,7 +29,7 @@
 pub(super) struct UpdateRequest {
     pub(super) zone: String,
     pub(super) address: SocketAddr,
-    pub(super) mark: StateCursor,
+    pub(super) cursor: StateCursor,
     /// Sources that failed this VM a moment ago.
     pub(super) avoid: Vec<SocketAddr>,
     /// What this VM's callers asked for since its last question.
@@ -40,13 +40,13 @@
 #[derive(Clone, Debug, Encode, Decode)]
 pub(super) enum RelayResponse {
     /// What is new, perhaps nothing, and how long ago the store was last heard of at the root.
-    News(Box<StateUpdate>, Duration),
+    Update(Box<StateUpdate>, Duration),
     /// Newer declarations; `None` when the VM that was asked knows none.
     Declarations(Option<DeclarationsUpdate>),
     /// Another VM tells it.
-    AskOther(SocketAddr),
+    Redirect(SocketAddr),
     /// This VM is out of touch itself.
-    OutOfTouch,
+    Disconnected,
     /// The store does not answer the VM at the root; nothing else is wrong.
-    StoreAway,
+    StoreUnavailable,
 }
--- a/crates/nickellead_gateway/src/relay/mod.rs
+++ b/crates/nickellead_gateway/src/relay/mod.rs
@@ -23,20 +23,20 @@
 use tokio::sync::Notify;
 
 use self::publishing::UpdateSubscriber;
-pub(crate) use self::publishing::serve_news;
+pub(crate) use self::publishing::serve_updates;
 use crate::cluster_state::ClusterState;
 use crate::load_counter::{LoadCounter, VmId};
 use crate::store_health::StoreHealth;
 use crate::waiting::wait_for;
 
 /// How long a question waits for news.
-const ASK_WAIT: Duration = Duration::from_millis(500);
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// News are too old when the store last answered the VM at the root longer ago than this; the root
 /// asks it every third of a second.
-const NEWS_AGE_MOST: Duration = Duration::from_millis(1_100);
+const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_100);
 
 /// A VM that was not asked for this long has no readers.
-const READERS_SILENCE: Duration = Duration::from_millis(1_000);
+const SUBSCRIBER_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Where a VM gets its news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 
 /// What a reader does when the store does not answer the VM at the root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AwayRule {
+pub(crate) enum UnavailableStorePolicy {
     /// It looks whether the store answers it.
     Leave,
     /// It keeps its place: the store does not answer it either.
@@ -60,33 +60,33 @@
 
 /// Why no other VM is followed any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FollowOutcome {
+pub(crate) enum SubscriptionEnd {
     /// No source is left.
-    Lost,
+    NoUpstream,
     /// There are sources, but the store does not answer the VM at the root.
-    StoreAway,
+    StoreUnavailable,
 }
 
 /// This VM's part in telling news.
 pub(crate) struct UpdateRelay {
     zone: String,
     address: SocketAddr,
-    book: Rc<ClusterState>,
+    cluster: Rc<ClusterState>,
     health: Rc<StoreHealth>,
-    source: Cell<UpdateUpstream>,
+    upstream: Cell<UpdateUpstream>,
     /// When the VM at the root last heard from the store, as far as its news have come here.
-    root_heard: Cell<Option<Instant>>,
+    root_contact: Cell<Option<Instant>>,
     /// Whether the source last said that the store does not answer the VM at the root.
-    root_away: Cell<bool>,
+    root_store_unavailable: Cell<bool>,
     /// Whether this VM holds the mandate.
-    leads: Cell<bool>,
+    holds_mandate: Cell<bool>,
     /// VMs that ask this one, by address; kept by the mandate's holder only.
-    readers: RefCell<HashMap<SocketAddr, UpdateSubscriber>>,
+    subscribers: RefCell<HashMap<SocketAddr, UpdateSubscriber>>,
     /// When another VM last asked this one for news.
-    asked: Cell<Option<Instant>>,
-    loads: LoadCounter,
+    last_poll: Cell<Option<Instant>>,
+    load_counter: LoadCounter,
     /// This VM, in the loads that it reports.
-    mark: VmId,
+    vm_id: VmId,
     /// Woken when the source changes.
     changed: Notify,
 }
@@ -95,46 +95,46 @@
     pub(crate) fn new(
         zone: String,
         address: SocketAddr,
-        book: Rc<ClusterState>,
+        cluster: Rc<ClusterState>,
         health: Rc<StoreHealth>,
-        loads: LoadCounter,
-        mark: VmId,
+        load_counter: LoadCounter,
+        vm_id: VmId,
     ) -> Rc<Self> {
         Rc::new(Self {
             zone,
             address,
-            book,
+            cluster,
             health,
-            source: Cell::new(UpdateUpstream::Seeking),
-            root_heard: Cell::new(None),
-            root_away: Cell::new(false),
-            leads: Cell::new(false),
-            readers: RefCell::default(),
-            asked: Cell::new(None),
-            loads,
-            mark,
+            upstream: Cell::new(UpdateUpstream::Seeking),
+            root_contact: Cell::new(None),
+            root_store_unavailable: Cell::new(false),
+            holds_mandate: Cell::new(false),
+            subscribers: RefCell::default(),
+            last_poll: Cell::new(None),
+            load_counter,
+            vm_id,
             changed: Notify::new(),
         })
     }
 
     /// Whether this VM holds the mandate, and so tells the others.
-    pub(crate) fn leads(&self) -> bool {
-        self.leads.get()
+    pub(crate) fn holds_mandate(&self) -> bool {
+        self.holds_mandate.get()
     }
 
     /// Notes whether this VM holds the mandate: a holder follows the store.
-    pub(crate) fn set_leads(&self, leads: bool) {
-        self.leads.set(leads);
+    pub(crate) fn set_holds_mandate(&self, holds: bool) {
+        self.holds_mandate.set(holds);
         self.changed.notify_waiters();
-        if leads {
-            self.set_source(UpdateUpstream::Store);
+        if holds {
+            self.set_upstream(UpdateUpstream::Store);
         }
     }
 
     /// Notes where this VM gets its news from now on.
-    fn set_source(&self, source: UpdateUpstream) {
-        if self.source.replace(source) != source {
-            let text = match source {
+    fn set_upstream(&self, upstream: UpdateUpstream) {
+        if self.upstream.replace(upstream) != upstream {
+            let text = match upstream {
                 UpdateUpstream::Store => "store".to_owned(),
                 UpdateUpstream::Vm(address) => address.to_string(),
                 UpdateUpstream::Seeking => "none".to_owned(),
@@ -148,57 +148,57 @@
     ///
     /// The age is counted from the store's last answer to the VM at the root, so VMs that would
     /// follow each other in a circle notice it.
-    fn news_age(&self) -> Option<Duration> {
-        let heard = match self.source.get() {
+    fn update_age(&self) -> Option<Duration> {
+        let last_contact = match self.upstream.get() {
             UpdateUpstream::Store if self.health.is_unavailable() => None,
             UpdateUpstream::Store => self.health.last_response(),
-            UpdateUpstream::Vm(_) => self.root_heard.get(),
+            UpdateUpstream::Vm(_) => self.root_contact.get(),
             UpdateUpstream::Seeking => None,
         };
-        heard.map(|heard| heard.elapsed()).filter(|age| *age < NEWS_AGE_MOST)
+        last_contact.map(|last_contact| last_contact.elapsed()).filter(|age| *age < MAX_UPDATE_AGE)
     }
 
     /// Whether this VM has no news because the store does not answer the VM at the root.
-    pub(crate) fn is_away(&self) -> bool {
-        self.root_away.get()
+    pub(crate) fn is_root_store_unavailable(&self) -> bool {
+        self.root_store_unavailable.get()
     }
 
     /// Whether other VMs have their news from this one.
-    pub(crate) fn has_readers(&self) -> bool {
-        self.asked.get().is_some_and(|asked| asked.elapsed() < READERS_SILENCE)
+    pub(crate) fn has_subscribers(&self) -> bool {
+        self.last_poll.get().is_some_and(|poll| poll.elapsed() < SUBSCRIBER_POLL_TIMEOUT)
     }
 
     /// Whether what this VM counts goes to another VM.
     pub(crate) fn reports_load(&self) -> bool {
-        matches!(self.source.get(), UpdateUpstream::Vm(_))
+        matches!(self.upstream.get(), UpdateUpstream::Vm(_))
     }
 
     /// Waits until this VM follows the store.
-    pub(crate) async fn follows_store(&self) {
-        self.wait_for_source(|source| source == UpdateUpstream::Store).await;
+    pub(crate) async fn wait_until_watching_store(&self) {
+        self.wait_for_upstream(|upstream| upstream == UpdateUpstream::Store).await;
     }
 
     /// Waits until this VM does not follow the store any more.
-    pub(crate) async fn leaves_store(&self) {
-        self.wait_for_source(|source| source != UpdateUpstream::Store).await;
+    pub(crate) async fn wait_until_not_watching_store(&self) {
+        self.wait_for_upstream(|upstream| upstream != UpdateUpstream::Store).await;
     }
 
     /// Waits until this VM takes the mandate; for ever while it holds it already.
-    pub(crate) async fn starts_to_lead(&self) {
-        if self.leads.get() {
+    pub(crate) async fn wait_until_mandate_taken(&self) {
+        if self.holds_mandate.get() {
             return std::future::pending().await;
         }
-        self.wait_until(|| self.leads.get()).await;
+        self.wait_until(|| self.holds_mandate.get()).await;
     }
 
     /// Waits until this VM does not hold the mandate.
-    pub(crate) async fn leads_no_more(&self) {
-        self.wait_until(|| !self.leads.get()).await;
+    pub(crate) async fn wait_while_holding_mandate(&self) {
+        self.wait_until(|| !self.holds_mandate.get()).await;
     }
 
     /// Waits until this VM gets its news from a source that is wanted.
-    async fn wait_for_source(&self, wanted: impl Fn(UpdateUpstream) -> bool) {
-        self.wait_until(|| wanted(self.source.get())).await;
+    async fn wait_for_upstream(&self, wanted: impl Fn(UpdateUpstream) -> bool) {
+        self.wait_until(|| wanted(self.upstream.get())).await;
     }
 
     async fn wait_until(&self, holds: impl Fn() -> bool) {
@@ -206,7 +206,7 @@
     }
 
     /// Follows the store because no VM tells news.
-    pub(crate) fn fall_back(&self) {
-        self.set_source(UpdateUpstream::Store);
+    pub(crate) fn watch_store(&self) {
+        self.set_upstream(UpdateUpstream::Store);
     }
 }
--- a/crates/nickellead_gateway/src/relay/subscribing.rs
+++ b/crates/nickellead_gateway/src/relay/subscribing.rs
@@ -7,61 +7,63 @@
 use nickellead_peer::{ExchangeProgress, PeerClient};
 
 use super::messages::{RELAY_PATH, RelayRequest, RelayResponse, UpdateRequest};
-use super::{ASK_WAIT, AwayRule, FollowOutcome, UpdateRelay, UpdateUpstream};
+use super::{
+    LONG_POLL_TIMEOUT, SubscriptionEnd, UnavailableStorePolicy, UpdateRelay, UpdateUpstream,
+};
 use crate::cluster_state::{StateCursor, StateUpdate};
 
-/// How long an answer may take to begin, beyond [`ASK_WAIT`], before its VM counts as lost.
+/// How long an answer may take to begin, beyond [`LONG_POLL_TIMEOUT`], before its VM counts as lost.
 ///
-/// With `NEWS_AGE_MOST` and `TOUCH_LOOK` it keeps a change that a source misses within the
+/// With `MAX_UPDATE_AGE` and `CONNECTIVITY_CHECK_INTERVAL` it keeps a change that a source misses within the
 /// two seconds that the platform allows for its taking force.
-const ANSWER_TIME: Duration = Duration::from_millis(350);
+const UPSTREAM_RESPONSE_MARGIN: Duration = Duration::from_millis(350);
 /// How long a VM waits until an answer with declarations begins.
 ///
 /// Whether the source lives is seen by the news, and declarations that don't arrive in time are read
 /// from the store meanwhile: this only ends a question that was forgotten.
-const DECLARATIONS_WAIT: Duration = Duration::from_secs(4);
+const DECLARATIONS_TIMEOUT: Duration = Duration::from_secs(4);
 /// Until a source is asked again that has no news because the store is away.
-const AWAY_PAUSE: Duration = Duration::from_millis(250);
+const STORE_UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Until a VM is asked again for declarations that it announced and does not tell.
-const UNTOLD_PAUSE: Duration = Duration::from_millis(100);
+const DECLARATIONS_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Answers of this size and above are logged, in bytes: changes of calm seconds are smaller.
-const LARGE_ANSWER: usize = 16 * 1024;
+const LARGE_RESPONSE_BYTES: usize = 16 * 1024;
 
 type RelayClient = PeerClient<RelayRequest, RelayResponse>;
 
 /// Why a VM is asked for news no more.
-enum FollowEnd {
+enum PollEnd {
     /// It named another VM.
-    AskOther(SocketAddr),
+    Redirect(SocketAddr),
     /// It can't be followed.
-    Lost(LossReason),
+    Lost(UpstreamLoss),
     /// The store does not answer the VM at the root.
-    StoreAway,
+    StoreUnavailable,
 }
 
 /// Why a VM can't be followed.
 #[derive(Clone, Copy)]
-enum LossReason {
+enum UpstreamLoss {
     /// It did not answer in time, or the connection failed.
-    NoAnswer,
+    NoResponse,
     /// It is out of touch with the store itself.
-    OutOfTouch,
+    Disconnected,
     /// Its news don't follow on what is known here.
     Unusable,
     /// The holder of the mandate stops.
     Vacant,
     /// This VM holds the mandate now.
-    Leads,
+    HoldsMandate,
 }
 
-impl LossReason {
+impl UpstreamLoss {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::NoAnswer => "no-answer",
-            Self::OutOfTouch => "out-of-touch",
+            Self::NoResponse => "no-answer",
+            Self::Disconnected => "out-of-touch",
             Self::Unusable => "unusable",
             Self::Vacant => "vacant",
-            Self::Leads => "leads",
+            Self::HoldsMandate => "leads",
         }
     }
 }
@@ -70,16 +72,20 @@
     /// Asks `first` for news, and whom it names, for as long as one of them answers.
     ///
     /// Returns when no source is left, or as `rule` says.
-    pub(crate) async fn follow(&self, first: SocketAddr, rule: AwayRule) -> FollowOutcome {
+    pub(crate) async fn subscribe(
+        &self,
+        first: SocketAddr,
+        policy: UnavailableStorePolicy,
+    ) -> SubscriptionEnd {
         let mut avoid = Vec::new();
         let mut address = first;
         loop {
-            match self.follow_one(address, &avoid, rule).await {
-                FollowEnd::StoreAway => return FollowOutcome::StoreAway,
-                FollowEnd::AskOther(other) if other != self.address && !avoid.contains(&other) => {
+            match self.subscribe_to(address, &avoid, policy).await {
+                PollEnd::StoreUnavailable => return SubscriptionEnd::StoreUnavailable,
+                PollEnd::Redirect(other) if other != self.address && !avoid.contains(&other) => {
                     address = other;
                 }
-                _ if self.leads.get() || address == first => break,
+                _ if self.holds_mandate.get() || address == first => break,
                 _ => {
                     // The one named is of no use: the holder tells it itself then.
                     avoid.push(address);
@@ -87,124 +93,136 @@
                 }
             }
         }
-        if matches!(self.source.get(), UpdateUpstream::Vm(_)) {
-            self.set_source(UpdateUpstream::Seeking);
+        if matches!(self.upstream.get(), UpdateUpstream::Vm(_)) {
+            self.set_upstream(UpdateUpstream::Seeking);
         }
-        FollowOutcome::Lost
+        SubscriptionEnd::NoUpstream
     }
 
     /// Follows one VM: news by one connection, and the declarations that they announce by another.
-    async fn follow_one(
+    async fn subscribe_to(
         &self,
         address: SocketAddr,
         avoid: &[SocketAddr],
-        rule: AwayRule,
-    ) -> FollowEnd {
-        let mut news = RelayClient::new(address, RELAY_PATH);
+        policy: UnavailableStorePolicy,
+    ) -> PollEnd {
+        let mut updates = RelayClient::new(address, RELAY_PATH);
         let mut declarations = RelayClient::new(address, RELAY_PATH);
         let (end, progress) = tokio::select! {
-            end = self.follow_news(&mut news, avoid, rule) => (end, news.progress()),
-            reason = self.follow_declarations(&mut declarations) => {
-                (FollowEnd::Lost(reason), declarations.progress())
+            end = self.poll_updates(&mut updates, avoid, policy) => (end, updates.progress()),
+            reason = self.fetch_declarations(&mut declarations) => {
+                (PollEnd::Lost(reason), declarations.progress())
             }
         };
-        if let FollowEnd::Lost(reason) = end {
-            log_left(address, reason, progress);
+        if let PollEnd::Lost(reason) = end {
+            log_upstream_lost(address, reason, progress);
         }
         end
     }
 
     /// Asks a VM for news again and again.
-    async fn follow_news(
+    async fn poll_updates(
         &self,
         client: &mut RelayClient,
         avoid: &[SocketAddr],
-        rule: AwayRule,
-    ) -> FollowEnd {
-        let mut mark = self.book.mark();
-        while !self.leads.get() {
-            let mut load = self.loads.take();
-            load.vms.insert(self.mark);
-            let ask = UpdateRequest {
+        policy: UnavailableStorePolicy,
+    ) -> PollEnd {
+        let mut cursor = self.cluster.cursor();
+        while !self.holds_mandate.get() {
+            let mut load = self.load_counter.take();
+            load.vms.insert(self.vm_id);
+            let request = UpdateRequest {
                 zone: self.zone.clone(),
                 address: self.address,
-                mark,
+                cursor,
                 avoid: avoid.to_vec(),
                 load,
             };
-            match client.call(&RelayRequest::News(Box::new(ask)), ASK_WAIT + ANSWER_TIME).await {
-                Ok(RelayResponse::News(news, age)) => {
-                    log_large(client.address(), client.progress());
+            match client
+                .call(
+                    &RelayRequest::Updates(Box::new(request)),
+                    LONG_POLL_TIMEOUT + UPSTREAM_RESPONSE_MARGIN,
+                )
+                .await
+            {
+                Ok(RelayResponse::Update(update, age)) => {
+                    log_large_response(client.address(), client.progress());
                     let age = age + client.progress().on_way;
-                    mark = match self.take_news(*news, age) {
-                        Ok(mark) => mark,
-                        Err(reason) => return FollowEnd::Lost(reason),
+                    cursor = match self.apply_update(*update, age) {
+                        Ok(cursor) => cursor,
+                        Err(reason) => return PollEnd::Lost(reason),
                     };
-                    self.root_away.set(false);
-                    self.set_source(UpdateUpstream::Vm(client.address()));
+                    self.root_store_unavailable.set(false);
+                    self.set_upstream(UpdateUpstream::Vm(client.address()));
                 }
-                Ok(RelayResponse::StoreAway) => {
-                    self.root_away.set(true);
-                    if rule == AwayRule::Leave {
-                        return FollowEnd::StoreAway;
+                Ok(RelayResponse::StoreUnavailable) => {
+                    self.root_store_unavailable.set(true);
+                    if policy == UnavailableStorePolicy::Leave {
+                        return PollEnd::StoreUnavailable;
                     }
-                    self.set_source(UpdateUpstream::Vm(client.address()));
-                    tokio::time::sleep(AWAY_PAUSE).await;
+                    self.set_upstream(UpdateUpstream::Vm(client.address()));
+                    tokio::time::sleep(STORE_UNAVAILABLE_RETRY_DELAY).await;
+                }
+                Ok(RelayResponse::Redirect(other)) => return PollEnd::Redirect(other),
+                Ok(RelayResponse::Disconnected) => {
+                    return PollEnd::Lost(UpstreamLoss::Disconnected);
                 }
-                Ok(RelayResponse::AskOther(other)) => return FollowEnd::AskOther(other),
-                Ok(RelayResponse::OutOfTouch) => return FollowEnd::Lost(LossReason::OutOfTouch),
-                Ok(RelayResponse::Declarations(_)) => return FollowEnd::Lost(LossReason::Unusable),
-                Err(_) => return FollowEnd::Lost(LossReason::NoAnswer),
+                Ok(RelayResponse::Declarations(_)) => return PollEnd::Lost(UpstreamLoss::Unusable),
+                Err(_) => return PollEnd::Lost(UpstreamLoss::NoResponse),
             }
         }
-        FollowEnd::Lost(LossReason::Leads)
+        PollEnd::Lost(UpstreamLoss::HoldsMandate)
     }
 
-    fn take_news(&self, news: StateUpdate, age: Duration) -> Result<StateCursor, LossReason> {
-        self.root_heard.set(Instant::now().checked_sub(age));
-        let mark = self.book.take_news(news).ok_or(LossReason::Unusable)?;
-        match self.book.mandate() {
+    fn apply_update(
+        &self,
+        update: StateUpdate,
+        age: Duration,
+    ) -> Result<StateCursor, UpstreamLoss> {
+        self.root_contact.set(Instant::now().checked_sub(age));
+        let cursor = self.cluster.apply_update(update).ok_or(UpstreamLoss::Unusable)?;
+        match self.cluster.mandate() {
             // Its holder stops: somebody has to take it now.
-            Some(mandate) if mandate.value.vacant => Err(LossReason::Vacant),
-            _ => Ok(mark),
+            Some(mandate) if mandate.value.vacant => Err(UpstreamLoss::Vacant),
+            _ => Ok(cursor),
         }
     }
 
     /// Asks a VM for declarations whenever newer ones are announced; returns when that fails.
-    async fn follow_declarations(&self, client: &mut RelayClient) -> LossReason {
+    async fn fetch_declarations(&self, client: &mut RelayClient) -> UpstreamLoss {
         // What was told may not fit what is known here; a whole copy always does.
         let mut whole = false;
         loop {
-            self.book.wait_for_lack().await;
-            let known = self.book.declared_state().filter(|_| !whole);
-            let told =
-                match client.call(&RelayRequest::Declarations(known), DECLARATIONS_WAIT).await {
-                    Ok(RelayResponse::Declarations(told)) => told,
-                    Ok(_) => return LossReason::Unusable,
-                    Err(_) => return LossReason::NoAnswer,
+            self.cluster.wait_for_missing_declarations().await;
+            let known = self.cluster.declared_state().filter(|_| !whole);
+            let update =
+                match client.call(&RelayRequest::Declarations(known), DECLARATIONS_TIMEOUT).await {
+                    Ok(RelayResponse::Declarations(update)) => update,
+                    Ok(_) => return UpstreamLoss::Unusable,
+                    Err(_) => return UpstreamLoss::NoResponse,
                 };
-            log_large(client.address(), client.progress());
-            let Some(told) = told else {
+            log_large_response(client.address(), client.progress());
+            let Some(update) = update else {
                 // The VM does not know them itself yet.
-                tokio::time::sleep(UNTOLD_PAUSE).await;
+                tokio::time::sleep(DECLARATIONS_RETRY_DELAY).await;
                 continue;
             };
-            let taken = self.book.take_declarations(told);
-            if !taken && whole {
-                return LossReason::Unusable;
+            let applied = self.cluster.apply_declarations_update(update);
+            if !applied && whole {
+                return UpstreamLoss::Unusable;
             }
             // The store may have been faster.
-            whole = !taken && self.book.lacks_declarations();
+            whole = !applied && self.cluster.is_missing_declarations();
         }
     }
 }
 
-fn log_large(source: SocketAddr, progress: ExchangeProgress) {
-    if progress.bytes < LARGE_ANSWER {
+fn log_large_response(upstream: SocketAddr, progress: ExchangeProgress) {
+    if progress.bytes < LARGE_RESPONSE_BYTES {
         return;
     }
     let pairs: [(&str, &dyn std::fmt::Display); 4] = [
-        ("source", &source),
+        ("source", &upstream),
         ("bytes", &progress.bytes),
         ("waited_ms", &progress.waited.as_millis()),
         ("on_way_ms", &progress.on_way.as_millis()),
@@ -212,9 +230,9 @@
     log_event(EventName::NewsTaken, &pairs);
 }
 
-fn log_left(source: SocketAddr, reason: LossReason, progress: ExchangeProgress) {
+fn log_upstream_lost(upstream: SocketAddr, reason: UpstreamLoss, progress: ExchangeProgress) {
     let pairs: [(&str, &dyn std::fmt::Display); 5] = [
-        ("source", &source),
+        ("source", &upstream),
         ("reason", &reason.as_str()),
         ("bytes", &progress.bytes),
         ("waited_ms", &progress.waited.as_millis()),
--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::cluster_state::{ClusterState, LAPSE_TIME};
+use crate::cluster_state::{ClusterState, EXPIRY_GRACE};
 use crate::relay::UpdateRelay;
 use crate::store_health::StoreHealth;
 use crate::{Declarations, Revision, Snapshot, StoreError, StorePort, Stored};
@@ -106,7 +106,7 @@
             });
         }
         let book = Rc::clone(&self.book);
-        actix_rt::spawn(async move { book.drop_all_lapsed().await });
+        actix_rt::spawn(async move { book.remove_expired_targets().await });
     }
 
     /// Repeats a step while this VM follows the store.
@@ -118,15 +118,15 @@
         let mut led = false;
         let mut forgotten: Option<Instant> = None;
         loop {
-            self.relay.follows_store().await;
+            self.relay.wait_until_watching_store().await;
             // Others rely on this VM once it leads, and a watch that was begun during an outage hangs.
-            anew |= self.relay.leads() && !led;
-            led = self.relay.leads();
+            anew |= self.relay.holds_mandate() && !led;
+            led = self.relay.holds_mandate();
             let stepped = tokio::select! {
                 stepped = step(anew) => stepped,
-                () = self.relay.leaves_store() => continue,
+                () = self.relay.wait_until_not_watching_store() => continue,
                 () = self.health.recovered.notified() => continue,
-                () = self.relay.starts_to_lead() => continue,
+                () = self.relay.wait_until_mandate_taken() => continue,
             };
             anew = false;
             match stepped {
@@ -170,7 +170,7 @@
         self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
-        self.book.note_declarations(snapshot.as_of, snapshot.value);
+        self.book.apply_stored_declarations(snapshot.as_of, snapshot.value);
         // A full read that follows a silent watch brings nothing new, and waits for nothing.
         let changed = changed && known.is_some();
         Ok(if changed { WatchStep::After(DECLARATION_PAUSE) } else { WatchStep::Continue })
@@ -197,7 +197,7 @@
             };
             self.health.record(&read);
             if let Ok(read) = read {
-                self.book.note_declarations(read.as_of, read.value);
+                self.book.apply_stored_declarations(read.as_of, read.value);
             }
             if version() != known {
                 return Ok(None);
@@ -208,15 +208,15 @@
     /// Reads declarations that are announced and do not arrive, whoever is followed meanwhile.
     async fn read_late_declarations(&self) {
         loop {
-            let since = self.book.wait_for_lack().await;
+            let since = self.book.wait_for_missing_declarations().await;
             tokio::time::sleep_until((since + ANNOUNCED_WAIT).into()).await;
-            if !self.book.lacks_since(since) {
+            if !self.book.is_missing_since(since) {
                 continue;
             }
             let read = self.store.declarations().await;
             self.health.record(&read);
             match read {
-                Ok(read) => self.book.note_declarations(read.as_of, read.value),
+                Ok(read) => self.book.apply_stored_declarations(read.as_of, read.value),
                 Err(_) => self.wait_for_store().await,
             }
             // What was read may be older than what was announced: not again at once.
@@ -230,7 +230,7 @@
                 let result = self.store.targets().await;
                 self.health.record(&result);
                 let list = result?;
-                self.book.note_all_targets(list.as_of, list.value, self.expiry_end());
+                self.book.apply_stored_targets(list.as_of, list.value, self.expiry_end());
                 Ok(WatchStep::After(self.target_pause()))
             }
             Some(from) => self.watch_targets(from).await,
@@ -250,15 +250,15 @@
             return Ok(WatchStep::ReadAnew);
         }
         let changed = !changes.value.is_empty();
-        self.book.note_target_changes(changes.as_of, changes.value, self.expiry_end());
+        self.book.apply_stored_target_changes(changes.as_of, changes.value, self.expiry_end());
         Ok(if changed { WatchStep::After(self.target_pause()) } else { WatchStep::Continue })
     }
 
     async fn step_ranges(&self, anew: bool) -> Result<WatchStep, StoreError> {
-        if self.relay.leads() {
+        if self.relay.holds_mandate() {
             // Nobody else writes the map: what this VM writes it tells the book itself, and a late
             // write of a predecessor would make its next one fail.
-            self.relay.leads_no_more().await;
+            self.relay.wait_while_holding_mandate().await;
             return Ok(WatchStep::ReadAnew);
         }
         let known = self.book.known().ranges.filter(|_| !anew);
@@ -275,7 +275,7 @@
         self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
-        self.book.note_ranges(snapshot.as_of, snapshot.value);
+        self.book.apply_ranges(snapshot.as_of, snapshot.value);
         Ok(if changed { WatchStep::After(RANGE_PAUSE_ALONE) } else { WatchStep::Continue })
     }
 
@@ -295,14 +295,14 @@
         let result = self.store.evacuations().await;
         self.health.record(&result);
         let Snapshot { as_of, value } = result?;
-        self.book.note_evacuations(Stored { revision: as_of, value });
+        self.book.apply_evacuations(Stored { revision: as_of, value });
         Ok(WatchStep::Continue)
     }
 
     fn check_time(&self, time: Duration) -> Duration {
-        if self.relay.leads() {
+        if self.relay.holds_mandate() {
             time
-        } else if self.relay.has_readers() {
+        } else if self.relay.has_subscribers() {
             time.mul_f64(TELLER_FACTOR)
         } else {
             time.mul_f64(ALONE_FACTOR)
@@ -310,15 +310,15 @@
     }
 
     fn target_pause(&self) -> Duration {
-        if self.relay.leads() { TARGET_PAUSE } else { TARGET_PAUSE_ALONE }
+        if self.relay.holds_mandate() { TARGET_PAUSE } else { TARGET_PAUSE_ALONE }
     }
 
     /// Until when a missing entry may only have lapsed; `None` when the store was not away.
     fn expiry_end(&self) -> Option<Instant> {
         if self.health.is_unavailable() {
-            return Some(Instant::now() + LAPSE_TIME);
+            return Some(Instant::now() + EXPIRY_GRACE);
         }
-        let until = self.health.recovered_at()? + LAPSE_TIME;
+        let until = self.health.recovered_at()? + EXPIRY_GRACE;
         (until > Instant::now()).then_some(until)
     }
 }
--- a/crates/nickellead_gateway/tests/ranges_history.rs
+++ b/crates/nickellead_gateway/tests/ranges_history.rs
@@ -5,7 +5,7 @@
 //! now, whichever VM it had the map from; these tests hold that it ends with the very same map.
 #![allow(clippy::unwrap_used)]
 
-use nickellead_gateway::{RangesHistory, RangesStep, RangesUpdate, Revision, StepsMisfit, Stored};
+use nickellead_gateway::{RangesHistory, RangesStep, RangesUpdate, Revision, StepsError, Stored};
 use nickellead_range::{RangeMap, RangeRecord, TargetInstance};
 
 /// Ranges of the maps of these tests.
@@ -43,7 +43,7 @@
 /// A VM that had the maps of these revisions, each whole.
 fn history(revisions: impl IntoIterator<Item = u64>) -> RangesHistory {
     let mut history = RangesHistory::default();
-    revisions.into_iter().for_each(|revision| assert!(history.take_whole(map(revision))));
+    revisions.into_iter().for_each(|revision| assert!(history.apply_whole(map(revision))));
     history
 }
 
@@ -62,7 +62,7 @@
 fn a_reader_goes_on_by_steps_to_the_very_same_map() {
     let teller = history([10, 11, 13, 17]);
     let mut reader = history([11]);
-    assert_eq!(reader.take_steps(steps(&teller, 11)), Ok(true));
+    assert_eq!(reader.apply_steps(steps(&teller, 11)), Ok(true));
     assert_eq!(reader.newest(), Some(&map(17)));
     assert_eq!(reader.revision(), Revision::without_era(17));
 }
@@ -72,10 +72,10 @@
 fn steps_that_were_taken_are_told_on() {
     let teller = history([10, 11, 13, 17]);
     let mut middle = history([10]);
-    middle.take_steps(steps(&teller, 10)).unwrap();
+    middle.apply_steps(steps(&teller, 10)).unwrap();
     for mark in [10, 11, 13] {
         let mut reader = history([mark]);
-        assert_eq!(reader.take_steps(steps(&middle, mark)), Ok(true));
+        assert_eq!(reader.apply_steps(steps(&middle, mark)), Ok(true));
         assert_eq!(reader.newest(), Some(&map(17)));
     }
 }
@@ -110,14 +110,14 @@
 fn steps_that_the_map_is_past_are_ignored() {
     let teller = history([10, 11, 13]);
     let mut newer = history([13, 14]);
-    assert_eq!(newer.take_steps(steps(&teller, 10)), Ok(false));
+    assert_eq!(newer.apply_steps(steps(&teller, 10)), Ok(false));
     assert_eq!(newer.newest(), Some(&map(14)));
-    assert_eq!(history([10, 13]).take_steps(steps(&teller, 10)), Ok(false));
+    assert_eq!(history([10, 13]).apply_steps(steps(&teller, 10)), Ok(false));
     let mut between = history([10, 11]);
-    assert_eq!(between.take_steps(steps(&teller, 10)), Ok(true), "the first one is known");
+    assert_eq!(between.apply_steps(steps(&teller, 10)), Ok(true), "the first one is known");
     assert_eq!(between.newest(), Some(&map(13)));
     assert_eq!(steps(&between, 10), steps(&teller, 10), "and kept once");
-    assert!(!newer.take_whole(map(12)) && !newer.take_whole(map(14)));
+    assert!(!newer.apply_whole(map(12)) && !newer.apply_whole(map(14)));
     assert_eq!(newer.newest(), Some(&map(14)));
 }
 
@@ -126,13 +126,13 @@
     let teller = history([10, 11, 13]);
     for known in [5, 12] {
         let mut reader = history([known]);
-        let misfit = StepsMisfit::NoStart { known: Revision::without_era(known) };
-        assert_eq!(reader.take_steps(steps(&teller, 10)), Err(misfit));
+        let misfit = StepsError::NoStart { known: Revision::without_era(known) };
+        assert_eq!(reader.apply_steps(steps(&teller, 10)), Err(misfit));
         assert_eq!(reader.newest(), Some(&map(known)));
         assert!(reader.revision() == Revision::without_era(known), "its map stands");
     }
     let mut empty = RangesHistory::default();
-    assert!(empty.take_steps(steps(&teller, 10)).is_err());
+    assert!(empty.apply_steps(steps(&teller, 10)).is_err());
     assert_eq!(empty.newest(), None);
 }
 
@@ -141,10 +141,10 @@
     let mut reader = history([10]);
     let mut told = steps(&history([10, 11, 13, 17]), 10);
     told.remove(1);
-    assert!(matches!(reader.take_steps(told), Err(StepsMisfit::Broken { .. })));
+    assert!(matches!(reader.apply_steps(told), Err(StepsError::Broken { .. })));
     let mut back = steps(&history([10, 11]), 10);
     back[0].to = Revision::without_era(9);
-    assert!(matches!(reader.take_steps(back), Err(StepsMisfit::Broken { .. })));
+    assert!(matches!(reader.apply_steps(back), Err(StepsError::Broken { .. })));
     assert_eq!(reader.newest(), Some(&map(10)));
 }
 
@@ -156,18 +156,18 @@
     let mut told = steps(&teller, 10);
     told[1].change = steps(&history([20, 21]), 20).remove(0).change;
     let mut reader = history([9, 10]);
-    assert!(matches!(reader.take_steps(told), Err(StepsMisfit::Refused { .. })));
+    assert!(matches!(reader.apply_steps(told), Err(StepsError::Refused { .. })));
     assert_eq!(reader.newest(), Some(&map(10)));
     assert_eq!(reader.revision(), Revision::without_era(0));
     assert!(
         is_whole(reader.since(Revision::without_era(9)), 10),
         "it tells no steps to a doubtful map"
     );
-    assert!(reader.take_steps(steps(&teller, 10)).is_err(), "it takes no steps on top of it");
-    assert!(reader.take_whole(map(13)));
+    assert!(reader.apply_steps(steps(&teller, 10)).is_err(), "it takes no steps on top of it");
+    assert!(reader.apply_whole(map(13)));
     assert!(is_whole(reader.since(Revision::without_era(10)), 13));
     assert_eq!(reader.revision(), Revision::without_era(13));
-    assert_eq!(reader.take_steps(steps(&history([13, 14]), 13)), Ok(true));
+    assert_eq!(reader.apply_steps(steps(&history([13, 14]), 13)), Ok(true));
 }
 
 /// A map with gaps is told as it is: no change leads exactly to it.
@@ -176,8 +176,8 @@
     let mut teller = history([9, 10]);
     let mut gaps = map(11);
     gaps.value.services.get_mut("keyed").unwrap().remove(3);
-    assert!(teller.take_whole(gaps.clone()));
+    assert!(teller.apply_whole(gaps.clone()));
     assert_eq!(teller.since(Revision::without_era(9)), Some(RangesUpdate::Whole(gaps)));
-    assert!(teller.take_whole(map(12)));
+    assert!(teller.apply_whole(map(12)));
     assert!(is_whole(teller.since(Revision::without_era(9)), 12));
 }
