--- a/crates/nickellead_gateway/src/relay/messages.rs
+++ b/crates/nickellead_gateway/src/relay/messages.rs
@@ -1,4 +1,4 @@
-//! What VMs ask each other and answer.
+//! Requests and responses of the relay protocol between VMs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,44 +9,44 @@
 use crate::cluster_state::{DeclarationsUpdate, StateCursor, StateUpdate};
 use crate::load_counter::LoadCounts;
 
-/// Path of these messages, which ends in the version of their protocol: VMs of different ones follow
-/// the store instead of each other.
+/// HTTP path of the protocol; it ends in the protocol version. VMs of different versions watch the
+/// store instead of each other.
 pub(super) const RELAY_PATH: &str = "/relay/7";
 
-/// A question of one VM to another.
+/// A request of one VM to another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(super) enum RelayRequest {
-    /// What is new?
+    /// A long poll for updates.
     Updates(Box<UpdateRequest>),
-    /// What are the declarations? With what the reader knows of them.
+    /// Requests newer declarations than the given ones, or all of them for `None`.
     ///
-    /// They are asked for apart: a large change of them must not hold back the rest.
+    /// They have a request of their own so that a large change does not delay other updates.
     Declarations(Option<DeclaredState>),
 }
 
-/// A question for news.
+/// A long poll for updates from a cursor.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(super) struct UpdateRequest {
     pub(super) zone: String,
     pub(super) address: SocketAddr,
     pub(super) cursor: StateCursor,
-    /// Sources that failed this VM a moment ago.
+    /// VMs that recently failed this subscriber as upstreams.
     pub(super) avoid: Vec<SocketAddr>,
-    /// What this VM's callers asked for since its last question.
+    /// Load counted on this VM since its last request.
     pub(super) load: LoadCounts,
 }
 
-/// The answer to a [`RelayRequest`].
+/// The response to a [`RelayRequest`].
 #[derive(Clone, Debug, Encode, Decode)]
 pub(super) enum RelayResponse {
-    /// What is new, perhaps nothing, and how long ago the store was last heard of at the root.
+    /// Updates, possibly empty, and the time since the store last responded to the VM at the root.
     Update(Box<StateUpdate>, Duration),
-    /// Newer declarations; `None` when the VM that was asked knows none.
+    /// Newer declarations; `None` if this VM has none yet.
     Declarations(Option<DeclarationsUpdate>),
-    /// Another VM tells it.
+    /// Another VM to poll instead.
     Redirect(SocketAddr),
-    /// This VM is out of touch itself.
+    /// This VM has no fresh state itself.
     Disconnected,
-    /// The store does not answer the VM at the root; nothing else is wrong.
+    /// The store does not respond to the VM at the root; all VMs between are connected.
     StoreUnavailable,
 }
