--- a/crates/nickellead_gateway/src/relay/mod.rs
+++ b/crates/nickellead_gateway/src/relay/mod.rs
@@ -1,13 +1,12 @@
-//! VMs tell each other what the store says, so that few of them ask it.
+//! Distribution of the store's content between VMs, so that few of them query the store.
 //!
-//! The holder of the mandate follows the store. Every other VM follows the
-//! holder, or a VM of its own availability zone that does: the holder sends
-//! all but a few of a zone's VMs on to those few. A VM whose source is silent,
-//! or says that it is out of touch itself, follows the store until it finds a
-//! source again.
+//! The VM that holds the mandate (leader lease) watches the store. Every other VM subscribes to the
+//! mandate holder, or to a VM of its own availability zone that does: the mandate holder redirects
+//! all but a few of a zone's VMs to those few. A VM whose upstream is silent or disconnected
+//! watches the store until it finds an upstream again.
 //!
-//! This module holds where this VM gets its news. `messages` is what VMs ask
-//! and answer, `subscribing` asks another VM, `publishing` answers others.
+//! This module tracks the VM's upstream. `messages` defines the protocol, `subscribing` polls an
+//! upstream, and `publishing` responds to subscribers.
 
 mod messages;
 mod publishing;
@@ -29,65 +28,62 @@
 use crate::store_health::StoreHealth;
 use crate::waiting::wait_for;
 
-/// How long a question waits for news.
+/// How long a request for updates waits until there are any.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// News are too old when the store last answered the VM at the root longer ago than this; the root
-/// asks it every third of a second.
+/// Updates are stale when the store last responded to the VM at the root longer ago than this. That
+/// VM probes the store several times within this time.
 const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_100);
 
-/// A VM that was not asked for this long has no readers.
+/// A VM that no other VM has polled for this long has no subscribers.
 const SUBSCRIBER_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Where a VM gets its news.
+/// Where a VM gets its updates from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpdateUpstream {
-    /// From the store.
     Store,
-    /// From another VM.
     Vm(SocketAddr),
-    /// From nowhere yet: the VM has just started, or has just lost its source.
+    /// None yet: the VM has just started or has just lost its upstream.
     Seeking,
 }
 
-/// What a reader does when the store does not answer the VM at the root.
+/// What a subscriber does when the store does not respond to the VM at the root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnavailableStorePolicy {
-    /// It looks whether the store answers it.
+    /// Leaves the upstream to check whether the store responds to this VM.
     Leave,
-    /// It keeps its place: the store does not answer it either.
+    /// Stays with the upstream, because the store does not respond to this VM either.
     Stay,
 }
 
-/// Why no other VM is followed any more.
+/// Why a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubscriptionEnd {
-    /// No source is left.
+    /// No upstream is left.
     NoUpstream,
-    /// There are sources, but the store does not answer the VM at the root.
+    /// Upstreams respond, but the store does not respond to the VM at the root.
     StoreUnavailable,
 }
 
-/// This VM's part in telling news.
+/// This VM's part in the distribution of updates.
 pub(crate) struct UpdateRelay {
     zone: String,
     address: SocketAddr,
     cluster: Rc<ClusterState>,
     health: Rc<StoreHealth>,
     upstream: Cell<UpdateUpstream>,
-    /// When the VM at the root last heard from the store, as far as its news have come here.
+    /// When the store last responded to the VM at the root, as far as updates have reported it.
     root_contact: Cell<Option<Instant>>,
-    /// Whether the source last said that the store does not answer the VM at the root.
+    /// Whether the upstream last reported that the store does not respond to the VM at the root.
     root_store_unavailable: Cell<bool>,
-    /// Whether this VM holds the mandate.
     holds_mandate: Cell<bool>,
-    /// VMs that ask this one, by address; kept by the mandate's holder only.
+    /// Direct subscribers by address; only the mandate holder keeps them.
     subscribers: RefCell<HashMap<SocketAddr, UpdateSubscriber>>,
-    /// When another VM last asked this one for news.
+    /// When another VM last polled this one.
     last_poll: Cell<Option<Instant>>,
     load_counter: LoadCounter,
-    /// This VM, in the loads that it reports.
+    /// This VM in its load reports.
     vm_id: VmId,
-    /// Woken when the source changes.
+    /// Notified when the upstream or the mandate changes.
     changed: Notify,
 }
 
@@ -117,12 +113,12 @@
         })
     }
 
-    /// Whether this VM holds the mandate, and so tells the others.
+    /// Whether this VM holds the mandate and so publishes updates from the store.
     pub(crate) fn holds_mandate(&self) -> bool {
         self.holds_mandate.get()
     }
 
-    /// Notes whether this VM holds the mandate: a holder follows the store.
+    /// Sets whether this VM holds the mandate; a mandate holder watches the store.
     pub(crate) fn set_holds_mandate(&self, holds: bool) {
         self.holds_mandate.set(holds);
         self.changed.notify_waiters();
@@ -131,7 +127,6 @@
         }
     }
 
-    /// Notes where this VM gets its news from now on.
     fn set_upstream(&self, upstream: UpdateUpstream) {
         if self.upstream.replace(upstream) != upstream {
             let text = match upstream {
@@ -144,10 +139,10 @@
         }
     }
 
-    /// How old the news are that this VM tells; `None` when it is out of touch.
+    /// Age of this VM's updates, or `None` when they are stale.
     ///
-    /// The age is counted from the store's last answer to the VM at the root, so VMs that would
-    /// follow each other in a circle notice it.
+    /// The age counts from the store's last response to the VM at the root, so that VMs detect a
+    /// subscription cycle.
     fn update_age(&self) -> Option<Duration> {
         let last_contact = match self.upstream.get() {
             UpdateUpstream::Store if self.health.is_unavailable() => None,
@@ -158,32 +153,30 @@
         last_contact.map(|last_contact| last_contact.elapsed()).filter(|age| *age < MAX_UPDATE_AGE)
     }
 
-    /// Whether this VM has no news because the store does not answer the VM at the root.
+    /// Whether this VM has no updates because the store does not respond to the VM at the root.
     pub(crate) fn is_root_store_unavailable(&self) -> bool {
         self.root_store_unavailable.get()
     }
 
-    /// Whether other VMs have their news from this one.
+    /// Whether other VMs get their updates from this one.
     pub(crate) fn has_subscribers(&self) -> bool {
         self.last_poll.get().is_some_and(|poll| poll.elapsed() < SUBSCRIBER_POLL_TIMEOUT)
     }
 
-    /// Whether what this VM counts goes to another VM.
+    /// Whether this VM reports its load to another VM.
     pub(crate) fn reports_load(&self) -> bool {
         matches!(self.upstream.get(), UpdateUpstream::Vm(_))
     }
 
-    /// Waits until this VM follows the store.
     pub(crate) async fn wait_until_watching_store(&self) {
         self.wait_for_upstream(|upstream| upstream == UpdateUpstream::Store).await;
     }
 
-    /// Waits until this VM does not follow the store any more.
     pub(crate) async fn wait_until_not_watching_store(&self) {
         self.wait_for_upstream(|upstream| upstream != UpdateUpstream::Store).await;
     }
 
-    /// Waits until this VM takes the mandate; for ever while it holds it already.
+    /// Waits until this VM takes the mandate; never completes if it already holds the mandate.
     pub(crate) async fn wait_until_mandate_taken(&self) {
         if self.holds_mandate.get() {
             return std::future::pending().await;
@@ -191,12 +184,10 @@
         self.wait_until(|| self.holds_mandate.get()).await;
     }
 
-    /// Waits until this VM does not hold the mandate.
     pub(crate) async fn wait_while_holding_mandate(&self) {
         self.wait_until(|| !self.holds_mandate.get()).await;
     }
 
-    /// Waits until this VM gets its news from a source that is wanted.
     async fn wait_for_upstream(&self, wanted: impl Fn(UpdateUpstream) -> bool) {
         self.wait_until(|| wanted(self.upstream.get())).await;
     }
@@ -205,7 +196,7 @@
         wait_for(&self.changed, || holds().then_some(())).await;
     }
 
-    /// Follows the store because no VM tells news.
+    /// Watches the store, because no VM provides updates.
     pub(crate) fn watch_store(&self) {
         self.set_upstream(UpdateUpstream::Store);
     }
