--- a/crates/nickellead_gateway/src/relay/publishing.rs
+++ b/crates/nickellead_gateway/src/relay/publishing.rs
@@ -1,4 +1,4 @@
-//! Answering other VMs: the news, or which VM to ask instead.
+//! Responds to subscribers: with updates, or with the VM to poll instead.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,33 +11,31 @@
 use crate::DeclaredState;
 use crate::waiting::wait_for;
 
-/// How long a question waits for a VM whose news are too old and that has not noticed yet that its
-/// source is lost: it is about to follow the store, and its readers are to keep their places meanwhile.
-/// With what a VM needs to find a lost source this stays within two seconds.
+/// How long a request waits while this VM's updates are stale and it has not yet noticed that its
+/// upstream is lost. The VM is about to watch the store, and its subscribers should stay meanwhile.
+/// Together with the time to detect a lost upstream this stays below two seconds.
 const STALE_UPSTREAM_GRACE: Duration = Duration::from_millis(200);
-/// Between two looks whether a source that is out of touch is in touch again.
+/// Interval between checks whether stale updates are fresh again.
 const STALE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Between two looks whether a source is still in touch while a question waits.
+/// Interval between checks whether updates are still fresh while a request waits.
 const CONNECTIVITY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// VMs of one zone that follow the holder itself; the others follow these.
+/// VMs of one zone that subscribe to the mandate holder; the others subscribe to these.
 const DIRECT_SUBSCRIBERS_PER_ZONE: usize = 3;
-/// A reader that has not asked for this long has gone.
+/// A subscriber that has not polled for this long is removed.
 const SUBSCRIBER_ENTRY_TTL: Duration = Duration::from_millis(2_500);
-/// News that come within this time are told together.
+/// Changes within this time are published together.
 const UPDATE_BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// A VM that gets its news from this one.
+/// A VM that gets its updates from this one.
 pub(super) struct UpdateSubscriber {
-    /// Its availability zone.
     zone: String,
-    /// When it last asked.
     last_request: Instant,
-    /// Readers sent on to this one.
+    /// Number of VMs redirected to this one.
     redirected: u32,
 }
 
 impl UpdateRelay {
-    /// Where a reader should ask instead, if not here.
+    /// The VM that a subscriber should poll instead of this one, if any.
     fn redirect_for(&self, request: &UpdateRequest) -> Option<SocketAddr> {
         if !self.holds_mandate.get() {
             return None;
@@ -54,8 +52,8 @@
             .filter(|(_, subscriber)| subscriber.zone == request.zone)
             .collect();
         if near.len() >= DIRECT_SUBSCRIBERS_PER_ZONE {
-            // Those that failed this reader count as well: else a zone whose readers lost one source
-            // would all come here.
+            // Counts VMs that failed this subscriber as well. Otherwise all VMs of a zone that lost
+            // one upstream would subscribe to the mandate holder.
             let others = near.into_iter().filter(|(address, _)| !request.avoid.contains(address));
             if let Some((address, subscriber)) =
                 others.min_by_key(|(_, subscriber)| subscriber.redirected)
@@ -73,19 +71,19 @@
         None
     }
 
-    /// Until when this VM, out of touch since `since`, may be in touch again without being lost to its
-    /// readers.
+    /// Until when this VM, disconnected since `since`, may reconnect before its subscribers are
+    /// told that it is disconnected.
     fn reconnect_deadline(&self, since: Instant) -> Instant {
         match self.upstream.get() {
-            // It is about to learn the news itself.
+            // The first updates are about to arrive.
             UpdateUpstream::Seeking => since + LONG_POLL_TIMEOUT,
             UpdateUpstream::Vm(_) => since + STALE_UPSTREAM_GRACE,
-            // It follows the store now and may only be waiting for its first answer.
+            // The first response of the store may be pending.
             UpdateUpstream::Store => since + STALE_UPSTREAM_GRACE,
         }
     }
 
-    /// Whether this VM has no news because the store answers neither it nor its source.
+    /// Whether this VM has no updates because the store responds neither to it nor to its upstream.
     fn is_store_unavailable(&self) -> bool {
         match self.upstream.get() {
             UpdateUpstream::Store => self.health.is_unavailable(),
@@ -101,7 +99,7 @@
         }
     }
 
-    /// Answers a question for declarations, once this VM knows newer ones, or after a while.
+    /// Responds once this VM has newer declarations, or after [`LONG_POLL_TIMEOUT`].
     async fn respond_declarations(&self, known: Option<DeclaredState>) -> RelayResponse {
         let newer =
             wait_for(&self.cluster.changed, || self.cluster.has_newer_than(known).then_some(()));
@@ -111,7 +109,7 @@
         }
     }
 
-    /// Answers a question for news, at once when there are any and else after a while.
+    /// Responds at once when there are updates, and otherwise after [`LONG_POLL_TIMEOUT`].
     async fn respond_updates(&self, mut request: UpdateRequest) -> RelayResponse {
         self.load_counter.merge(std::mem::take(&mut request.load));
         self.last_poll.set(Some(Instant::now()));
@@ -147,7 +145,7 @@
     }
 }
 
-/// Answers other VMs for as long as the process lives.
+/// Responds to other VMs for as long as the process runs.
 pub(crate) async fn serve_updates(relay: Rc<UpdateRelay>, listener: tokio::net::TcpListener) {
     let handler: PeerHandler<RelayRequest, RelayResponse> = Rc::new(move |request, _| {
         let relay = Rc::clone(&relay);
