--- a/crates/nickellead_gateway/src/relay/subscribing.rs
+++ b/crates/nickellead_gateway/src/relay/subscribing.rs
@@ -1,4 +1,4 @@
-//! Following another VM: asking it for news for as long as it has them.
+//! Subscribes to other VMs and polls them for updates.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,45 +12,47 @@
 };
 use crate::cluster_state::{StateCursor, StateUpdate};
 
-/// How long an answer may take to begin, beyond [`LONG_POLL_TIMEOUT`], before its VM counts as lost.
+/// How long a response may take to begin, beyond [`LONG_POLL_TIMEOUT`], before the upstream counts
+/// as lost.
 ///
-/// With `MAX_UPDATE_AGE` and `CONNECTIVITY_CHECK_INTERVAL` it keeps a change that a source misses within the
-/// two seconds that the platform allows for its taking force.
+/// Together with `MAX_UPDATE_AGE` and `CONNECTIVITY_CHECK_INTERVAL` it bounds the delay of a change
+/// that an upstream misses to the two seconds that the platform allows.
 const UPSTREAM_RESPONSE_MARGIN: Duration = Duration::from_millis(350);
-/// How long a VM waits until an answer with declarations begins.
+/// How long a response with declarations may take to begin.
 ///
-/// Whether the source lives is seen by the news, and declarations that don't arrive in time are read
-/// from the store meanwhile: this only ends a question that was forgotten.
+/// It only ends requests that got lost: polls for updates detect a lost upstream, and declarations
+/// that arrive late are read from the store meanwhile.
 const DECLARATIONS_TIMEOUT: Duration = Duration::from_secs(4);
-/// Until a source is asked again that has no news because the store is away.
+/// Delay before the next poll of an upstream without updates because the store is unavailable.
 const STORE_UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Until a VM is asked again for declarations that it announced and does not tell.
+/// Delay before declarations are requested again from a VM that has announced them but does not
+/// have them yet.
 const DECLARATIONS_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Answers of this size and above are logged, in bytes: changes of calm seconds are smaller.
+/// Responses of at least this size are logged, in bytes.
 const LARGE_RESPONSE_BYTES: usize = 16 * 1024;
 
 type RelayClient = PeerClient<RelayRequest, RelayResponse>;
 
-/// Why a VM is asked for news no more.
+/// Why an upstream is no longer polled.
 enum PollEnd {
     /// It named another VM.
     Redirect(SocketAddr),
-    /// It can't be followed.
+    /// It failed.
     Lost(UpstreamLoss),
-    /// The store does not answer the VM at the root.
+    /// The store does not respond to the VM at the root.
     StoreUnavailable,
 }
 
-/// Why a VM can't be followed.
+/// Why an upstream is lost.
 #[derive(Clone, Copy)]
 enum UpstreamLoss {
-    /// It did not answer in time, or the connection failed.
+    /// It did not respond in time, or the connection failed.
     NoResponse,
-    /// It is out of touch with the store itself.
+    /// It has no fresh state itself.
     Disconnected,
-    /// Its news don't follow on what is known here.
+    /// Its response does not apply to the state of this VM.
     Unusable,
-    /// The holder of the mandate stops.
+    /// The mandate holder is stopping.
     Vacant,
     /// This VM holds the mandate now.
     HoldsMandate,
@@ -69,9 +71,9 @@
 }
 
 impl UpdateRelay {
-    /// Asks `first` for news, and whom it names, for as long as one of them answers.
+    /// Polls `first`, or the VMs that it redirects to, for as long as one of them responds.
     ///
-    /// Returns when no source is left, or as `rule` says.
+    /// Returns when no upstream is left, or as `policy` says.
     pub(crate) async fn subscribe(
         &self,
         first: SocketAddr,
@@ -87,7 +89,8 @@
                 }
                 _ if self.holds_mandate.get() || address == first => break,
                 _ => {
-                    // The one named is of no use: the holder tells it itself then.
+                    // The mandate holder no longer redirects to a VM that failed, and may serve
+                    // this one itself.
                     avoid.push(address);
                     address = first;
                 }
@@ -99,7 +102,7 @@
         SubscriptionEnd::NoUpstream
     }
 
-    /// Follows one VM: news by one connection, and the declarations that they announce by another.
+    /// Polls one VM: for updates on one connection, and for announced declarations on another.
     async fn subscribe_to(
         &self,
         address: SocketAddr,
@@ -120,7 +123,7 @@
         end
     }
 
-    /// Asks a VM for news again and again.
+    /// Polls a VM for updates until it fails or redirects.
     async fn poll_updates(
         &self,
         client: &mut RelayClient,
@@ -182,15 +185,15 @@
         self.root_contact.set(Instant::now().checked_sub(age));
         let cursor = self.cluster.apply_update(update).ok_or(UpstreamLoss::Unusable)?;
         match self.cluster.mandate() {
-            // Its holder stops: somebody has to take it now.
+            // The mandate holder is stopping, and another VM has to take the mandate now.
             Some(mandate) if mandate.value.vacant => Err(UpstreamLoss::Vacant),
             _ => Ok(cursor),
         }
     }
 
-    /// Asks a VM for declarations whenever newer ones are announced; returns when that fails.
+    /// Requests declarations whenever newer ones are announced; returns when a request fails.
     async fn fetch_declarations(&self, client: &mut RelayClient) -> UpstreamLoss {
-        // What was told may not fit what is known here; a whole copy always does.
+        // Steps may not apply to the known declarations; a whole copy always does.
         let mut whole = false;
         loop {
             self.cluster.wait_for_missing_declarations().await;
@@ -203,7 +206,7 @@
                 };
             log_large_response(client.address(), client.progress());
             let Some(update) = update else {
-                // The VM does not know them itself yet.
+                // The upstream does not have them itself yet.
                 tokio::time::sleep(DECLARATIONS_RETRY_DELAY).await;
                 continue;
             };
@@ -211,7 +214,7 @@
             if !applied && whole {
                 return UpstreamLoss::Unusable;
             }
-            // The store may have been faster.
+            // Declarations read from the store may have arrived first.
             whole = !applied && self.cluster.is_missing_declarations();
         }
     }
