--- a/crates/nickellead_gateway/src/cluster_state/declared.rs
+++ b/crates/nickellead_gateway/src/cluster_state/declared.rs
@@ -1,4 +1,4 @@
-//! The declarations of one VM's book, as it can tell them on.
+//! The declarations of one VM's cluster state, in the form in which other VMs get them.
 
 use bincode::{Decode, Encode};
 use nickellead_event::{EventName, log_event};
@@ -9,31 +9,31 @@
     DeclaredStep, DeclaredUpdate, Revision,
 };
 
-/// What one VM tells another of the declarations.
+/// Newer declarations, as one VM sends them to another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct DeclarationsUpdate {
-    /// The store's revision that they are as of.
+    /// The store's revision as of which they are known.
     pub(crate) as_of: Revision,
-    /// How to get at them.
+    /// Steps from the known declarations, or a whole copy.
     pub(crate) content: DeclaredUpdate,
 }
 
-/// What a book keeps of the declarations besides their content.
+/// Steps and packed copy of the declarations for subscribers.
 #[derive(Default)]
 pub(super) struct DeclarationsCache {
-    /// The last changes, for readers that know an earlier content; they lead to what is known.
+    /// Recent steps that lead to the newest declarations, for subscribers with earlier ones.
     history: DeclarationsHistory,
-    /// All of them, packed when the first reader asks for a whole copy.
+    /// All declarations, packed when the first subscriber needs a whole copy.
     whole: Option<Packed<Declarations>>,
 }
 
 impl DeclarationsCache {
-    /// Which content is known.
+    /// The newest content; `None` before the first one.
     pub(super) fn state(&self) -> Option<DeclaredState> {
         self.history.newest()
     }
 
-    /// Notes that declarations were read from the store, and how they differ from those before.
+    /// Records declarations that were read from the store, with the step from the known ones.
     pub(super) fn record_stored(&mut self, known: Option<&Declarations>, new: &Declarations) {
         let step = known.and_then(|known| make_step(known, new));
         match step {
@@ -43,13 +43,13 @@
         self.whole = None;
     }
 
-    /// Notes that another VM told declarations.
+    /// Records declarations that another VM sent.
     pub(super) fn record_update(&mut self, applied: &AppliedUpdate) {
         self.history.apply_update(applied);
         self.whole = None;
     }
 
-    /// What a reader needs that knows this content, or none; `None` when it can't be told.
+    /// What a subscriber with this content, or with none, needs; `None` when it can't be encoded.
     pub(super) fn since(
         &mut self,
         known: Option<DeclaredState>,
@@ -65,10 +65,10 @@
     }
 }
 
-/// The step from one content to the next; `None` when readers need a whole copy instead.
+/// The step from one content to the next; `None` when subscribers need a whole copy instead.
 fn make_step(known: &Declarations, new: &Declarations) -> Option<DeclaredStep> {
     let change = DeclarationsChange::between(known, new)?;
-    // Too large to be told: so is then, or is not, a whole copy, which is tried when it is asked for.
+    // A step that is too large to send falls back to a whole copy, which is packed on demand.
     DeclaredStep::pack(&change).ok()
 }
 
