--- a/crates/nickellead_gateway/src/cluster_state/mod.rs
+++ b/crates/nickellead_gateway/src/cluster_state/mod.rs
@@ -1,10 +1,11 @@
-//! What one VM knows: declarations, targets, ranges, and who holds the mandate.
+//! The cluster state known to one VM: declarations, targets, ranges, and who holds the mandate
+//! (leader lease).
 //!
-//! The book takes news from the store or from another VM, never goes
-//! backwards, tells the request duty, and can say what is new to another VM.
+//! The state is updated from the store or from another VM and never goes backwards. It forwards
+//! changes to the request thread and provides updates for other VMs.
 //!
 //! `declared` keeps the declarations, `ranges` the map of ranges and `targets` the list of targets;
-//! `news` is what VMs tell each other.
+//! `updates` defines what VMs send each other.
 
 mod declared;
 mod ranges;
@@ -36,7 +37,8 @@
     TargetChange, TargetEntry, TargetList, TargetListing,
 };
 
-/// Up to which revision of the store each part is known.
+/// The store's revisions up to which parts of the state are known; `None` if a part has to be read
+/// as a whole.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KnownRevisions {
     pub(crate) declarations: Option<Revision>,
@@ -45,31 +47,32 @@
     pub(crate) evacuations: Option<Revision>,
 }
 
-/// Declarations that another VM knows of and this one does not know yet.
+/// Declarations that another VM has announced and this one does not have yet.
 #[derive(Clone, Copy)]
 struct MissingDeclarations {
     state: DeclaredState,
-    /// Since when any newer ones are lacked.
+    /// Since when any newer declarations have been missing.
     since: Instant,
 }
 
-/// One VM's book.
+/// One VM's copy of the cluster's state.
 pub(crate) struct ClusterState {
     incarnation: u64,
     known: Cell<KnownRevisions>,
     declared: RefCell<DeclarationsCache>,
     announced: Cell<Option<MissingDeclarations>>,
     targets: RefCell<TargetsState>,
-    /// Whether the last list of targets was older than what was known.
+    /// Whether the last list of targets was older than the known one.
     list_outdated: Cell<bool>,
     ranges: RefCell<RangesHistory>,
-    /// A whole map of ranges, packed for the first reader that needed it.
+    /// The whole map of ranges, packed when the first subscriber needs it.
     packed_ranges: RefCell<Option<(Revision, Packed<Stored<RangeMap>>)>>,
     mandate: RefCell<Option<Stored<MandateRecord>>>,
-    /// Evacuated zones, as of the store's revision at which they were read; 0 before.
+    /// Evacuated zones with the store's revision as of which they are known; 0 before the first
+    /// list.
     evacuations: RefCell<Stored<EvacuatedZones>>,
     senders: StateSenders,
-    /// Woken by every change.
+    /// Notified of every change.
     pub(crate) changed: Notify,
 }
 
@@ -91,12 +94,12 @@
         }
     }
 
-    /// Up to which revision of the store each part is known.
+    /// The store's revisions up to which parts of the state are known.
     pub(crate) fn known(&self) -> KnownRevisions {
         self.known.get()
     }
 
-    /// The declarations that are in force.
+    /// The active declarations; `None` before the first ones.
     pub(crate) fn declarations(&self) -> Option<Arc<Declarations>> {
         self.senders.declarations.borrow().clone()
     }
@@ -106,23 +109,23 @@
         Arc::clone(&self.senders.targets.borrow())
     }
 
-    /// The newest map of ranges.
+    /// The newest map of ranges; `None` before the first one.
     pub(crate) fn ranges(&self) -> Option<Stored<RangeMap>> {
         self.ranges.borrow().newest().cloned()
     }
 
-    /// From which map of ranges this book can go on by steps: what a reader's mark says of ranges,
-    /// also to a source that it has not asked before. 0 when it needs a whole map.
+    /// Revision of the map of ranges to which steps can be applied, whichever VM sends them; 0 when
+    /// a whole map is needed.
     pub(crate) fn ranges_revision(&self) -> Revision {
         self.ranges.borrow().revision()
     }
 
-    /// The newest mandate.
+    /// The newest mandate; `None` before the first one.
     pub(crate) fn mandate(&self) -> Option<Stored<MandateRecord>> {
         self.mandate.borrow().clone()
     }
 
-    /// Which content of the declarations is known.
+    /// The known content of the declarations.
     pub(crate) fn declared_state(&self) -> Option<DeclaredState> {
         self.declared.borrow().state()
     }
@@ -132,7 +135,7 @@
         self.announced.get().map(|missing| missing.state).or_else(|| self.declared_state())
     }
 
-    /// Notes a content of the declarations that another VM knows of.
+    /// Records content of the declarations that another VM has announced.
     pub(crate) fn record_announced_declarations(&self, state: DeclaredState) {
         let newest = self.newest_declared();
         if newest.is_some_and(|newest| newest.version >= state.version) {
@@ -148,12 +151,12 @@
         self.announced.get().is_some()
     }
 
-    /// Whether newer declarations than are known have been announced since then.
+    /// Whether newer declarations have been missing ever since `since`.
     pub(crate) fn is_missing_since(&self, since: Instant) -> bool {
         self.announced.get().is_some_and(|missing| missing.since == since)
     }
 
-    /// Waits until newer declarations are announced than are known; gives since when.
+    /// Waits until newer declarations are announced than are known, and returns since when.
     pub(crate) async fn wait_for_missing_declarations(&self) -> Instant {
         wait_for(&self.changed, || self.announced.get().map(|missing| missing.since)).await
     }
@@ -162,7 +165,7 @@
         self.declared_state().is_none_or(|known| known.version < version)
     }
 
-    /// Takes over declarations that the store told; older ones are ignored.
+    /// Applies declarations from the store; older ones are ignored.
     pub(crate) fn apply_stored_declarations(&self, as_of: Revision, new: Option<Declarations>) {
         self.raise_revision(|known| &mut known.declarations, as_of);
         let Some(new) = new.filter(|new| self.is_newer(new.version)) else { return };
@@ -170,8 +173,8 @@
         self.activate_declarations(new);
     }
 
-    /// Takes over declarations that another VM told, older ones are ignored; tells whether they fit
-    /// what is known.
+    /// Applies declarations from another VM; older ones are ignored. Returns whether they apply to
+    /// the known ones.
     pub(crate) fn apply_declarations_update(&self, update: DeclarationsUpdate) -> bool {
         let applied = match update.content.apply(self.declarations().as_deref()) {
             Ok(applied) => applied,
@@ -200,13 +203,13 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether newer declarations are known than a reader's, or any if it knows none.
+    /// Whether newer declarations are known than the given ones.
     pub(crate) fn has_newer_than(&self, known: Option<DeclaredState>) -> bool {
         let own = self.declared_state().map(|own| own.version);
         own > known.map(|known| known.version)
     }
 
-    /// What a reader needs that knows this content of the declarations, or none.
+    /// What a subscriber with this content of the declarations, or with none, needs.
     pub(crate) fn declarations_since(
         &self,
         known: Option<DeclaredState>,
@@ -216,9 +219,10 @@
         Some(DeclarationsUpdate { as_of: self.known().declarations.unwrap_or_default(), content })
     }
 
-    /// Takes over the whole list of targets that the store told, unless a newer one is known.
+    /// Applies the whole list of targets from the store, unless a newer one is known; returns
+    /// whether it was applied.
     ///
-    /// `lapse` is until when a missing entry may only have lapsed.
+    /// If `remove_at` is given, missing entries may only have expired and are kept until then.
     pub(crate) fn apply_stored_targets(
         &self,
         as_of: Revision,
@@ -228,12 +232,12 @@
         self.apply_target_list(as_of, listing, remove_at, ChangeOrigin::Store)
     }
 
-    /// How much longer a target is cold by its entry.
+    /// How much longer a target is cold according to its entry.
     pub(crate) fn cold_left(&self, entry: &TargetEntry) -> Duration {
         self.targets.borrow().cold_left(entry)
     }
 
-    /// Takes over changes of targets that the store told and that follow on what is known.
+    /// Applies changes of targets from the store that follow the known list.
     pub(crate) fn apply_stored_target_changes(
         &self,
         as_of: Revision,
@@ -250,15 +254,15 @@
         remove_at: Option<Instant>,
         origin: ChangeOrigin,
     ) -> bool {
-        let reached = self.targets_revision().filter(|reached| *reached > as_of);
-        let was_outdated = self.list_outdated.replace(reached.is_some());
-        if let Some(reached) = reached {
+        let newer_known = self.targets_revision().filter(|known| *known > as_of);
+        let was_outdated = self.list_outdated.replace(newer_known.is_some());
+        if let Some(known) = newer_known {
             if !was_outdated {
-                log_list_outdated(as_of, reached);
+                log_list_outdated(as_of, known);
             }
             return false;
         }
-        // Another VM's list holds what may only have lapsed.
+        // A list from another VM still holds entries that may only have expired.
         let lost_entries_due =
             self.enter_targets_era(as_of.era).filter(|_| origin == ChangeOrigin::Store);
         let remove_at = remove_at.max(lost_entries_due);
@@ -275,8 +279,9 @@
         true
     }
 
-    /// Notes the store's era in which targets are told; gives until when entries that a whole list lacks may
-    /// only have been lost, if the store came back from a copy after what is known.
+    /// Records the store's era of the targets. If the store was restored from a copy that is older
+    /// than the known list, returns until when entries that a whole list misses are kept, because
+    /// they may only have been lost.
     fn enter_targets_era(&self, era: StoreEra) -> Option<Instant> {
         let now = Instant::now();
         let before = self.targets.borrow_mut().enter_era(era, now)?;
@@ -305,13 +310,13 @@
         self.publish_targets(&targets, before);
     }
 
-    /// Up to which revision of the store the list of targets tells everything.
+    /// The store's revision up to which the list of targets is complete.
     fn targets_revision(&self) -> Option<Revision> {
         self.targets.borrow().revision
     }
 
-    /// Drops entries that lapsed and did not come back, each when it is due and whoever is followed
-    /// then: a source may know no newer list than the one that showed them gone.
+    /// Removes each expired entry that did not come back when it is due, also while updates come
+    /// from an upstream, whose list may be no newer than the one that missed the entry.
     pub(crate) async fn remove_expired_targets(&self) {
         loop {
             let due = wait_for(&self.changed, || self.next_due_target()).await;
@@ -327,12 +332,13 @@
         self.publish_targets(&targets, before);
     }
 
-    /// When the next entry that lapsed is taken as gone, or one that was withheld is listed.
+    /// When the next expired entry is removed or the next withheld one is listed.
     fn next_due_target(&self) -> Option<Instant> {
         self.targets.borrow().next_due()
     }
 
-    /// Tells the request duty and readers if the list changed since change number `before`.
+    /// Notifies the request thread and subscribers if the list changed since change number
+    /// `before`.
     fn publish_targets(&self, targets: &TargetsState, before: u64) {
         if targets.last_change != before {
             self.senders.targets.send_replace(Arc::new(targets.list.clone()));
@@ -340,21 +346,21 @@
         }
     }
 
-    /// Takes over a map of ranges; an older one is ignored.
+    /// Applies a map of ranges; an older one is ignored.
     pub(crate) fn apply_ranges(&self, as_of: Revision, new: Option<Stored<RangeMap>>) {
         self.raise_revision(|known| &mut known.ranges, as_of);
         let Some(new) = new else { return };
-        // A map that a copy brought back does not follow on those that the store has lost.
+        // A map from a restored copy does not follow the maps that the store has lost.
         let new = Stored { revision: new.order(), ..new };
         if self.ranges.borrow_mut().apply_whole(new) {
             self.publish_ranges();
         }
     }
 
-    /// Takes over steps of the map of ranges; those that are known are ignored.
+    /// Applies steps of the map of ranges; known ones are ignored.
     ///
     /// # Errors
-    /// [`StepsError`] when they don't go on from the known map; nothing is taken over then.
+    /// [`StepsError`] when the steps do not apply to the known map, which stays.
     fn apply_range_steps(&self, as_of: Revision, steps: Vec<RangesStep>) -> Result<(), StepsError> {
         let newer = self.ranges.borrow_mut().apply_steps(steps)?;
         self.raise_revision(|known| &mut known.ranges, as_of);
@@ -364,7 +370,7 @@
         Ok(())
     }
 
-    /// Tells the request duty and readers that there is a newer map of ranges.
+    /// Notifies the request thread and subscribers of the newest map of ranges.
     fn publish_ranges(&self) {
         let ranges = self.ranges.borrow();
         let Some(newest) = ranges.newest() else { return };
@@ -372,23 +378,23 @@
         self.changed.notify_waiters();
     }
 
-    /// Which word about crowded owners is known.
+    /// Stamp of the newest admission table.
     fn admission_stamp(&self) -> AnnouncementStamp {
         self.senders.admissions.borrow().stamp
     }
 
-    /// Whether this life of a target is listed.
+    /// Whether this instance of a target is listed.
     pub(crate) fn is_listed(&self, instance: &TargetInstance) -> bool {
         self.targets().get(&instance.id).is_some_and(|entry| entry.instance() == *instance)
     }
 
-    /// Whether no owner is known to be crowded, and no target to name a limit.
+    /// Whether no owner is known to be overloaded and no target to report a limit.
     pub(crate) fn has_no_admissions(&self) -> bool {
         let table = self.senders.admissions.borrow();
         table.services.is_empty() && table.limits.is_empty()
     }
 
-    /// Takes over the holder's word about crowded owners; an older one is ignored.
+    /// Applies the mandate holder's admission table; an older one is ignored.
     pub(crate) fn apply_admissions(&self, new: AdmissionTable) {
         if new.stamp > self.admission_stamp() {
             self.senders.admissions.send_replace(Arc::new(new));
@@ -396,7 +402,7 @@
         }
     }
 
-    /// Takes over a mandate; an older one is ignored.
+    /// Applies a mandate; an older one is ignored.
     pub(crate) fn apply_mandate(&self, new: &Stored<MandateRecord>) {
         let mut mandate = self.mandate.borrow_mut();
         if mandate.as_ref().is_none_or(|known| new.revision > known.revision) {
@@ -414,7 +420,7 @@
         self.evacuations.borrow().clone()
     }
 
-    /// Takes over which zones are evacuated; what is older than known is ignored.
+    /// Applies a list of evacuated zones; an older one is ignored.
     pub(crate) fn apply_evacuations(&self, new: Stored<EvacuatedZones>) {
         self.raise_revision(|known| &mut known.evacuations, new.revision);
         let mut known = self.evacuations.borrow_mut();
@@ -423,7 +429,8 @@
         }
         let mut new = new;
         if new.revision.era > known.revision.era {
-            // The operator's word may be among what the store lost; the next list is taken as it is.
+            // The store may have lost evacuations in the restore. The next list of this era is
+            // applied as it is.
             new.value.extend(known.value.iter().cloned());
         }
         if new.value == known.value {
@@ -438,12 +445,12 @@
         self.changed.notify_waiters();
     }
 
-    /// The VMs that take requests, as the mandate's holder last told.
+    /// The VMs that take requests, as announced by the mandate holder.
     pub(crate) fn fleet(&self) -> Arc<FleetTable> {
         Arc::clone(&self.senders.fleet.borrow())
     }
 
-    /// Takes over which VMs take requests; an older word is ignored.
+    /// Applies a table of the VMs that take requests; an older one is ignored.
     pub(crate) fn apply_fleet(&self, new: FleetTable) {
         if new.stamp > self.fleet().stamp {
             self.senders.fleet.send_replace(Arc::new(new));
@@ -451,13 +458,13 @@
         }
     }
 
-    /// Makes the next look at the store read all targets.
+    /// Makes the next query of the store read all targets.
     fn forget_targets_revision(&self) {
         let known = KnownRevisions { targets: None, ..self.known.get() };
         self.known.set(known);
     }
 
-    /// Notes that a part is known up to `as_of`, unless it is known further.
+    /// Raises the known revision of a part to `as_of`, unless it is already higher.
     fn raise_revision(
         &self,
         field: impl Fn(&mut KnownRevisions) -> &mut Option<Revision>,
