--- a/crates/nickellead_gateway/src/cluster_state/ranges.rs
+++ b/crates/nickellead_gateway/src/cluster_state/ranges.rs
@@ -1,8 +1,8 @@
 //! The newest map of ranges, and the last steps that led to it.
 //!
-//! The revision of the store names a map's content, whichever VM tells it. So
-//! a reader that has a map is told the steps from there by any VM that keeps
-//! them, also when it had that map from another one.
+//! The store's revision identifies a map's content, whichever VM sends it. A subscriber that has a
+//! map therefore gets the steps from there from any VM that keeps them, also if another VM sent the
+//! map.
 
 use std::collections::VecDeque;
 
@@ -14,86 +14,86 @@
 
 /// Steps kept for other VMs; a VM that is further behind gets the whole map.
 ///
-/// The map is written three times a second, so they reach back 20 seconds: longer than a reader
-/// takes to find another source.
+/// They cover more time than a subscriber needs to find another upstream.
 const MAX_RECENT_STEPS: usize = 64;
 
-/// From one map of ranges to the next one that a VM had.
+/// The change from one map of ranges to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RangesStep {
-    /// Revision of the map that the change applies to.
+    /// Revision of the map to which the change applies.
     pub from: Revision,
-    /// Revision of the map that it makes.
+    /// Revision of the resulting map.
     pub to: Revision,
-    /// What changes.
+    /// The changed ranges.
     pub change: MapChange,
 }
 
-/// What a VM tells another one of the map of ranges.
+/// What a VM sends a subscriber about the map of ranges.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum RangesUpdate {
-    /// The steps from the reader's map to the newest one, oldest first.
+    /// The steps from the subscriber's map to the newest one, oldest first.
     Steps(Vec<RangesStep>),
     /// The newest map.
     Whole(Stored<RangeMap>),
 }
 
-/// Why steps can't be taken; the map that was known stays.
+/// Why steps can't be applied; the known map stays.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StepsError {
     /// No step starts at the known map, or a whole map is needed.
-    #[error("no step starts at revision {}, which is known", known)]
+    #[error("no step starts at the known revision {}", known)]
     NoStart {
         /// Revision of the known map; 0 when a whole map is needed.
         known: Revision,
     },
-    /// A step does not start where the one before it ends, or does not go forward.
-    #[error("a step from revision {} to {} does not go on from {}", from, to, reached)]
+    /// A step does not start where the previous one ends, or its revision does not increase.
+    #[error("step from revision {} to {} does not continue from {}", from, to, reached)]
     Broken {
         /// Revision that the step starts at.
         from: Revision,
         /// Revision that the step leads to.
         to: Revision,
-        /// Revision that the steps before it led to.
+        /// Revision at which the previous step ends.
         reached: Revision,
     },
     /// The change does not apply to the map of its revision.
-    #[error("the change to revision {} does not apply: {error}", to)]
+    #[error("change to revision {} does not apply: {error}", to)]
     Refused {
         /// Revision that the step leads to.
         to: Revision,
-        /// Why it does not apply.
+        /// Why the change does not apply.
         error: MapChangeError,
     },
 }
 
 /// The newest map of ranges that a VM knows, and the last steps that led to it.
 ///
-/// It never goes back to an older map.
+/// The revision of the map never decreases.
 #[derive(Debug, Default)]
 pub struct RangesHistory {
     newest: Option<Stored<RangeMap>>,
-    /// The last steps, each from where the one before it ends; the last one ends at the newest map.
+    /// The last steps, each starting where the previous one ends; the last one ends at the newest
+    /// map.
     steps: VecDeque<RangesStep>,
     /// Whether a step did not apply to the newest map, so that a whole one is needed.
     needs_whole_map: bool,
 }
 
 impl RangesHistory {
-    /// The newest map.
+    /// The newest map; `None` before the first one.
     #[must_use]
     pub fn newest(&self) -> Option<&Stored<RangeMap>> {
         self.newest.as_ref()
     }
 
-    /// From which revision steps can be taken; 0 when a whole map is needed.
+    /// The revision from which steps can be applied; 0 when a whole map is needed.
     #[must_use]
     pub fn revision(&self) -> Revision {
         let base = self.newest.as_ref().filter(|_| !self.needs_whole_map);
         base.map_or(Revision::default(), |newest| newest.revision)
     }
 
-    /// Takes a whole map, unless it is older; tells whether it is the newest now.
+    /// Applies a whole map, unless it is older. Returns whether it is the newest now.
     pub fn apply_whole(&mut self, new: Stored<RangeMap>) -> bool {
         match &self.newest {
             Some(known) if new.revision < known.revision => return false,
@@ -109,11 +109,10 @@
         true
     }
 
-    /// Takes steps, of which those that the known map is past are ignored; tells whether a newer
-    /// map came of it.
+    /// Applies steps; those up to the known map are ignored. Returns whether the map is newer now.
     ///
     /// # Errors
-    /// [`StepsError`]; nothing is taken then.
+    /// [`StepsError`] when the steps do not apply to the known map, which stays.
     pub fn apply_steps(&mut self, steps: Vec<RangesStep>) -> Result<bool, StepsError> {
         check_order(&steps)?;
         let known = self.revision();
@@ -134,9 +133,9 @@
         Ok(true)
     }
 
-    /// What is new for a reader that has the map of this revision, 0 for none.
+    /// The update for a subscriber with the map of revision `from`, 0 for none.
     ///
-    /// `None` when its map is as new as the newest one here.
+    /// `None` when the subscriber's map is as new as the newest one.
     #[must_use]
     pub fn since(&self, from: Revision) -> Option<RangesUpdate> {
         let newest = self.newest.as_ref().filter(|newest| from < newest.revision)?;
@@ -144,7 +143,7 @@
         Some(steps.map_or_else(|| RangesUpdate::Whole(newest.clone()), RangesUpdate::Steps))
     }
 
-    /// The steps from a revision on; `None` when they are not kept.
+    /// The steps from a revision to the newest map; `None` when they are not kept.
     fn steps_from(&self, revision: Revision) -> Option<Vec<RangesStep>> {
         let start = self.steps.iter().position(|step| step.from == revision)?;
         Some(self.steps.range(start..).cloned().collect())
@@ -158,19 +157,19 @@
     }
 }
 
-/// The step between two maps, if there is a change that leads from one exactly to the other.
+/// The step between two maps, if a change leads from one exactly to the other.
 fn step_between(known: &Stored<RangeMap>, new: &Stored<RangeMap>) -> Option<RangesStep> {
     let change = MapChange::between(&known.value, &new.value)?;
     Some(RangesStep { from: known.revision, to: new.revision, change })
 }
 
-/// Whether steps take less to tell than the whole map: they have fewer ranges.
+/// Whether steps are shorter to send than the whole map, by their number of ranges.
 fn is_shorter(steps: &[RangesStep], map: &RangeMap) -> bool {
     let step_ranges: usize = steps.iter().map(|step| step.change.range_count()).sum();
     step_ranges < map.services.values().map(Vec::len).sum()
 }
 
-/// Fails unless each step goes forward, from where the one before it ends.
+/// Checks that each step starts where the previous one ends and increases the revision.
 fn check_order(steps: &[RangesStep]) -> Result<(), StepsError> {
     let mut reached = steps.first().map_or(Revision::default(), |first| first.from);
     for RangesStep { from, to, .. } in steps {
@@ -182,7 +181,7 @@
     Ok(())
 }
 
-/// The map that steps make of the one that the first of them starts at.
+/// The map that results from applying steps to the map at which the first one starts.
 fn fold_steps(
     base: &Stored<RangeMap>,
     steps: &[RangesStep],
