--- a/crates/nickellead_gateway/src/cluster_state/targets.rs
+++ b/crates/nickellead_gateway/src/cluster_state/targets.rs
@@ -1,4 +1,4 @@
-//! The listed targets, entries that may only have lapsed, and the last changes.
+//! The listed targets, entries that may only have expired in the store, and recent changes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,27 +11,28 @@
 
 /// Changes of targets kept for other VMs; a VM that is further behind gets the whole list.
 const MAX_RECENT_CHANGES: usize = 512;
-/// After the store's return, entries that lapsed meanwhile are back within this time.
-///
-/// The users' letter says "within about two seconds".
+/// How long missing entries are kept after the store has become available again. Live targets whose
+/// entries expired meanwhile write them again within this time.
 pub(crate) const EXPIRY_GRACE: Duration = Duration::from_millis(2_200);
-/// An entry that a copy of the store brought back, though its target is known to have gone, stands this long
-/// after the store's return only if the target lives: else it has not been written for three heartbeats.
+/// How long an entry from a restored copy of the store is withheld if its target is known to have
+/// gone. An entry that is still listed after this time is renewed by a live target, because entries
+/// expire after three missed heartbeats.
 const WITHHOLD_PERIOD: Duration = Duration::from_secs(10);
-/// How long it is kept in mind which targets have gone: longer than a copy of the store is old.
+/// How long departed instances of targets are remembered; longer than the age of the store's
+/// copies.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Who told changes of targets.
+/// Where changes of targets come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChangeOrigin {
-    /// The store, which this VM follows: each change is logged.
+    /// The store: each change is logged.
     Store,
-    /// Another VM, which has logged them, or the one that told it: a line counts them here. On 295 VMs
-    /// with 1,081 targets, a line each was up to a million lines a minute.
+    /// Another VM: only the number of changes is logged, because the VM that watches the store logs
+    /// each one.
     OtherVm,
 }
 
-/// How many targets became ready, began to leave and went, for the log.
+/// Numbers of targets that became ready, began to leave and went, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ChangeCounts {
     ready: usize,
@@ -39,36 +40,38 @@
     gone: usize,
 }
 
-/// The targets of one VM's book.
+/// The targets of one VM's cluster state.
 #[derive(Default)]
 pub(super) struct TargetsState {
     pub(super) list: TargetList,
-    /// Revision of the store up to which the list tells everything; `None` before it was read whole.
+    /// The store's revision up to which the list is complete; `None` before the first whole list.
     pub(super) revision: Option<Revision>,
-    /// Entries that are gone from the store, and when they are taken as gone.
+    /// Entries that are gone from the store, and when they are removed from the list.
     pub(super) expiring: BTreeMap<String, Instant>,
-    /// Lives of targets that have gone, and when they went, by identity.
+    /// Departed instances of targets, and when they went, by identity.
     departed: BTreeMap<String, (TargetInstance, Instant)>,
-    /// Entries of such lives that a copy of the store brought back, and when they are listed all the same.
+    /// Entries of departed instances that a restored copy of the store brought back, and when they
+    /// are listed nevertheless.
     withheld: BTreeMap<String, (TargetEntry, Instant)>,
-    /// The store's era in which targets were last told.
+    /// The store's era of the last changes.
     era: StoreEra,
-    /// When that era began, as far as is known here; `None` in the first one.
-    returned: Option<Instant>,
-    /// When each entry was heard as it is: what it says of being cold counts from then.
+    /// When that era began, as far as this VM knows; `None` in the first one.
+    restored_at: Option<Instant>,
+    /// When each entry last changed; its remaining cold time counts from then.
     updated_at: BTreeMap<String, Instant>,
-    /// Names whose entries can't be read.
+    /// Identities whose entries can't be decoded.
     unreadable: BTreeSet<String>,
-    /// The last changes with their numbers, oldest first.
+    /// Recent changes with their numbers, oldest first.
     changes: VecDeque<(u64, TargetChange)>,
     /// Number of the last change.
     pub(super) last_change: u64,
-    /// The whole list as of a change's number, packed for the first reader that needed it.
+    /// The whole list as of a change number, packed when the first subscriber needs it.
     packed: Option<(u64, Packed<TargetList>)>,
 }
 
 impl TargetsState {
-    /// Takes in changes; an entry that is gone stays until `lapse` if it may only have lapsed.
+    /// Applies changes. If `remove_at` is given, entries that are gone may only have expired and
+    /// are kept until then.
     pub(super) fn apply_all(
         &mut self,
         changes: Vec<TargetChange>,
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The word for a target's new state, if a change brings one.
+    /// The log text for a target's new state, if a change brings one.
     fn state_change(&self, change: &TargetChange) -> Option<&'static str> {
         match change {
             TargetChange::Listed(entry) => {
@@ -105,7 +108,7 @@
                 if self.unreadable.insert(id.clone()) {
                     log_event(EventName::TargetUnreadable, &[("target", &id)]);
                 }
-                // It may be another writer's, and the target of this name is none to use then.
+                // An entry of this identity from another writer must not keep the target in use.
                 self.remove(&id, origin);
             }
             TargetChange::Gone(id) => {
@@ -122,26 +125,27 @@
         }
     }
 
-    /// Notes the store's era; gives up to where the list told everything if the store came back from a copy
-    /// since.
+    /// Records the store's era. If the store was restored from a copy since, returns up to which
+    /// revision the list was complete.
     pub(super) fn enter_era(&mut self, era: StoreEra, now: Instant) -> Option<Revision> {
-        let rose = self.era < era;
+        let increased = self.era < era;
         self.era = self.era.max(era);
-        let reached = self.revision.filter(|_| rose)?;
-        self.returned = Some(now);
-        Some(reached)
+        let revision = self.revision.filter(|_| increased)?;
+        self.restored_at = Some(now);
+        Some(revision)
     }
 
-    /// The changes that a whole list brings, without entries of targets that went in the time which the store
-    /// has lost: it lists them until they have not been written for some heartbeats.
+    /// The changes that a whole list brings, without entries of targets that departed in the time
+    /// that the store has lost. The store lists those until they expire.
     pub(super) fn withhold(&mut self, list: TargetList) -> Vec<TargetChange> {
         self.withheld.retain(|id, _| list.contains_key(id));
-        let returned = self.returned.filter(|returned| returned.elapsed() < WITHHOLD_PERIOD);
+        let restored_at =
+            self.restored_at.filter(|restored_at| restored_at.elapsed() < WITHHOLD_PERIOD);
         let mut changes = Vec::with_capacity(list.len());
         for (id, entry) in list {
-            match returned.filter(|returned| self.departed_before(&entry, *returned)) {
-                Some(returned) => {
-                    self.withheld.insert(id, (entry, returned + WITHHOLD_PERIOD));
+            match restored_at.filter(|restored_at| self.departed_before(&entry, *restored_at)) {
+                Some(restored_at) => {
+                    self.withheld.insert(id, (entry, restored_at + WITHHOLD_PERIOD));
                 }
                 None => changes.push(TargetChange::Listed(entry)),
             }
@@ -149,26 +153,28 @@
         changes
     }
 
-    /// Whether this life of a target is known to have gone before the store came back.
-    fn departed_before(&self, entry: &TargetEntry, returned: Instant) -> bool {
+    /// Whether this instance of a target is known to have departed before the store was restored.
+    fn departed_before(&self, entry: &TargetEntry, restored_at: Instant) -> bool {
         let departed = self.departed.get(&entry.id).filter(|_| !self.list.contains_key(&entry.id));
-        departed.is_some_and(|(instance, gone)| *instance == entry.instance() && *gone <= returned)
+        departed.is_some_and(|(instance, departed_at)| {
+            *instance == entry.instance() && *departed_at <= restored_at
+        })
     }
 
-    /// When the next entry that lapsed is taken as gone, or one that was withheld is listed.
+    /// When the next expired entry is removed or the next withheld one is listed.
     pub(super) fn next_due(&self) -> Option<Instant> {
         let withheld = self.withheld.values().map(|(_, due)| due);
         self.expiring.values().chain(withheld).min().copied()
     }
 
-    /// Takes entries as gone that lapsed long enough ago, and lists those that were withheld long enough.
+    /// Removes expired entries and lists withheld entries that are due.
     pub(super) fn apply_due(&mut self, now: Instant) {
         let expired = self.expiring.iter().filter(|(_, until)| **until <= now);
         let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
         expired.into_iter().for_each(|id| self.remove(&id, ChangeOrigin::Store));
         let released = self.withheld.values().filter(|(_, due)| *due <= now);
         let released: Vec<TargetEntry> = released.map(|(entry, _)| entry.clone()).collect();
-        // Listed ones are withheld no more.
+        // This also removes them from `withheld`.
         released.into_iter().for_each(|entry| self.list_entry(entry, ChangeOrigin::Store));
     }
 
@@ -191,13 +197,13 @@
         self.list.insert(entry.id.clone(), entry);
     }
 
-    /// Takes an entry as gone.
+    /// Removes an entry from the list and remembers its instance as departed.
     pub(super) fn remove(&mut self, id: &str, origin: ChangeOrigin) {
         self.expiring.remove(id);
         self.updated_at.remove(id);
         if let Some(entry) = self.list.remove(id) {
             let now = Instant::now();
-            self.departed.retain(|_, (_, gone)| now - *gone < DEPARTED_RETENTION);
+            self.departed.retain(|_, (_, departed_at)| now - *departed_at < DEPARTED_RETENTION);
             self.departed.insert(id.to_owned(), (entry.instance(), now));
             if origin == ChangeOrigin::Store {
                 log_target(id, &entry.service, GONE);
@@ -214,18 +220,19 @@
         }
     }
 
-    /// How much longer a target is cold by its entry.
+    /// How much longer a target is cold according to its entry.
     pub(super) fn cold_left(&self, entry: &TargetEntry) -> Duration {
         let age = self.updated_at.get(&entry.id).map_or(Duration::ZERO, Instant::elapsed);
         entry.cold_left.saturating_sub(age)
     }
 
-    /// An entry as it would be told now: its cold time does not begin again with each VM that tells it.
+    /// The entry as of now, so that its cold time does not start again at each VM that receives it.
     fn with_current_cold_time(&self, entry: &TargetEntry) -> TargetEntry {
         TargetEntry { cold_left: self.cold_left(entry), ..entry.clone() }
     }
 
-    /// The whole list, packed once for all readers that need it as it is now.
+    /// The whole list, packed once for all subscribers unless it has cold targets, whose remaining
+    /// time changes.
     pub(super) fn packed(&mut self) -> Result<Packed<TargetList>, PackedError> {
         let is_cold = |entry: &TargetEntry| !entry.cold_left.is_zero();
         if self.list.values().any(is_cold) {
@@ -281,7 +288,7 @@
     }
 }
 
-/// Logs how many targets changed by what another VM told.
+/// Logs how many targets changed by another VM's update.
 fn log_counts(counts: ChangeCounts, number: u64) {
     if counts.ready + counts.draining + counts.gone == 0 {
         return;
