--- a/crates/nickellead_gateway/src/cluster_state/updates.rs
+++ b/crates/nickellead_gateway/src/cluster_state/updates.rs
@@ -1,4 +1,4 @@
-//! What one VM's book can tell another VM, and taking in what another one tells.
+//! Updates of the cluster state that VMs send each other.
 
 use bincode::{Decode, Encode};
 use nickellead_event::{EventName, log_event};
@@ -14,80 +14,80 @@
     TargetListing,
 };
 
-/// How far a VM's copy of another VM's book reaches.
+/// How far a subscriber's copy of the cluster state reaches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct StateCursor {
-    /// Life of the process whose book it is.
+    /// Incarnation of the upstream's process.
     pub(crate) incarnation: u64,
-    /// Number of the last change of targets taken from it; `None` before its whole list was taken.
+    /// Number of the last change of targets from this upstream; `None` before its whole list.
     pub(crate) targets: Option<u64>,
-    /// The store's revision up to which the reader knows the targets, whoever told them.
+    /// The store's revision up to which the subscriber knows the targets, from any upstream.
     pub(crate) targets_revision: Option<Revision>,
-    /// Newest content of the declarations that it announced, or that the reader knows.
+    /// Newest content of the declarations that the upstream announced or the subscriber knows.
     pub(crate) declared: Option<DeclaredState>,
-    /// Revision of the reader's map of ranges, whichever book it came from; 0 for none.
+    /// Revision of the subscriber's map of ranges, from any upstream; 0 for none.
     pub(crate) ranges: Revision,
-    /// Revision of the last mandate.
+    /// Revision of the last mandate; 0 for none.
     pub(crate) mandate: Revision,
-    /// The last word about crowded owners.
+    /// Stamp of the last admission table.
     pub(crate) admissions: AnnouncementStamp,
-    /// The last word about the VMs that take requests.
+    /// Stamp of the last fleet table.
     pub(crate) fleet: AnnouncementStamp,
-    /// As of when the evacuated zones are known; 0 for never.
+    /// Revision as of which the evacuated zones are known; 0 for none.
     pub(crate) evacuations: Revision,
 }
 
-/// What is new in a book since a mark.
+/// Changes of a cluster state since a cursor.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub(crate) struct StateUpdate {
-    /// Where the reader's copy now reaches.
+    /// The subscriber's cursor after this update.
     pub(crate) cursor: StateCursor,
-    /// The store's revision that the declarations of the mark are as of.
+    /// The store's revision as of which the targets are known.
     pub(crate) declarations_as_of: Revision,
-    /// Whether the mark announces declarations that the reader did not know of. They are asked for
-    /// apart, so that they hold nothing back.
+    /// Whether the cursor announces declarations that are new to the subscriber. It requests them
+    /// separately, so that they do not delay other updates.
     pub(crate) announces_declarations: bool,
-    /// What is new of the targets; `None` while the reader knows newer ones.
+    /// Changes of targets; `None` while the subscriber knows newer ones.
     pub(crate) targets: Option<TargetsUpdate>,
-    /// The store's revision that the ranges are as of.
+    /// The store's revision as of which the ranges are known.
     pub(crate) ranges_as_of: Revision,
     /// A newer map of ranges.
     pub(crate) ranges: Option<RangesPayload>,
     /// A newer mandate.
     pub(crate) mandate: Option<Stored<MandateRecord>>,
-    /// A newer word about crowded owners, whole: it names few of them.
+    /// A newer admission table, always whole.
     pub(crate) admissions: Option<AdmissionTable>,
-    /// A newer word about the VMs that take requests.
+    /// A newer table of the VMs that take requests.
     pub(crate) fleet: Option<FleetTable>,
-    /// Newer evacuated zones, all of them.
+    /// Newer evacuated zones, always all of them.
     pub(crate) evacuations: Option<Stored<EvacuatedZones>>,
 }
 
-/// What one VM tells another of the targets.
+/// Changes of targets that one VM sends another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct TargetsUpdate {
     /// The store's revision that they are as of.
     pub(crate) as_of: Revision,
-    /// Whether a watch of the store may go on from there: not so while entries are kept that the store
-    /// does not list, because they may only have lapsed.
+    /// Whether a watch of the store may start at `as_of`. It may not while entries are kept that
+    /// the store no longer lists, because the watch would miss their removal.
     pub(crate) watchable: bool,
     pub(crate) payload: TargetsPayload,
 }
 
-/// How the targets come to be as they are.
+/// The targets as a whole or as changes.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) enum TargetsPayload {
-    /// All of them, for a reader that is too far behind: a quarter of the bytes when packed, and those
-    /// that tell twenty others at once have links of 20 Mbit/s.
+    /// All targets, for a subscriber that is too far behind. The list is packed because upstreams
+    /// send it to many subscribers at once.
     Whole(Packed<TargetList>),
-    /// The changes since the reader's mark, oldest first.
+    /// The changes since the subscriber's cursor, oldest first.
     Changes(Vec<TargetChange>),
 }
 
-/// What one VM tells another of the map of ranges.
+/// The map of ranges as a whole or as steps.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) enum RangesPayload {
-    /// The steps from the reader's map to the newest one, oldest first.
+    /// The steps from the subscriber's map to the newest one, oldest first.
     Steps(Vec<RangesStep>),
     /// The newest map.
     Whole(Packed<Stored<RangeMap>>),
@@ -113,7 +113,7 @@
 }
 
 impl ClusterState {
-    /// What a reader with this book knows, whomever it asks.
+    /// A cursor for an upstream that this VM has not polled before.
     pub(crate) fn cursor(&self) -> StateCursor {
         StateCursor {
             declared: self.newest_declared(),
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What is new for a reader at `mark`.
+    /// The update for a subscriber at `cursor`.
     pub(crate) fn update_since(&self, cursor: StateCursor) -> StateUpdate {
         let known = self.known.get();
         let same = cursor.incarnation == self.incarnation;
@@ -147,17 +147,18 @@
         update
     }
 
-    /// Announces the declarations, unless the reader knows of these.
+    /// Announces the declarations, unless the subscriber knows of them.
     fn announce_declarations(&self, update: &mut StateUpdate) {
         let newest = self.newest_declared();
         update.announces_declarations = newest.is_some() && newest != update.cursor.declared;
         update.cursor.declared = newest;
     }
 
-    /// Adds the changes of targets, or all targets for a reader that has none of this book's changes.
+    /// Adds the changes of targets, or all targets for a subscriber without a change number of this
+    /// VM.
     ///
-    /// A reader that comes from the store may know newer targets than this VM, or this VM may not have
-    /// read them yet: the reader keeps what it has until this VM has caught up.
+    /// The subscriber may know newer targets than this VM. It then keeps its list until this VM has
+    /// caught up.
     fn add_targets(&self, update: &mut StateUpdate, same: bool) {
         let from = update.cursor.targets.take().filter(|_| same);
         let mut targets = self.targets.borrow_mut();
@@ -177,7 +178,7 @@
         update.targets = Some(TargetsUpdate { as_of, watchable, payload });
     }
 
-    /// Adds what is new of the ranges since the reader's map, whichever book that came from.
+    /// Adds changes of the ranges since the subscriber's map, whichever VM sent that map.
     fn add_ranges(&self, update: &mut StateUpdate) {
         let ranges = self.ranges.borrow();
         let Some(newest) = ranges.newest() else { return };
@@ -192,7 +193,7 @@
         update.cursor.ranges = newest.revision;
     }
 
-    /// A map of ranges, packed once for all readers that need it whole.
+    /// The whole map of ranges, packed once for all subscribers.
     fn packed_ranges(
         &self,
         whole: &Stored<RangeMap>,
@@ -241,15 +242,15 @@
         }
     }
 
-    /// Takes over another VM's news; gives the reader's next mark, or `None` when the news can't be
-    /// used.
+    /// Applies another VM's update. Returns the cursor for the next request, or `None` when the
+    /// update is unusable.
     pub(crate) fn apply_update(&self, update: StateUpdate) -> Option<StateCursor> {
         let mut cursor = update.cursor;
         self.apply_announced_declarations(cursor.declared, update.declarations_as_of);
         if let Some(targets) = update.targets
             && !self.apply_targets_update(targets)?
         {
-            // The list was older than what is known here: the VM that told it has to catch up.
+            // The list was older than the known one, and the upstream has to catch up.
             cursor.targets = None;
         }
         self.apply_ranges_update(update.ranges_as_of, update.ranges)?;
@@ -270,18 +271,19 @@
         Some(cursor)
     }
 
-    /// Notes which declarations another VM knows of, and as of when.
+    /// Records which declarations another VM knows, and as of when.
     fn apply_announced_declarations(&self, state: Option<DeclaredState>, as_of: Revision) {
         let Some(state) = state else { return };
         self.record_announced_declarations(state);
         if self.declared_state() == Some(state) {
-            // What is announced and not known yet must not be missed by a watch of the store.
+            // Only for known content: a watch of the store must not skip declarations that are
+            // announced but missing.
             self.apply_stored_declarations(as_of, None);
         }
     }
 
-    /// Takes over what another VM told of the targets, unless newer ones are known; `None` when it
-    /// can't be read.
+    /// Applies a targets update. Returns whether it was applied and not older than the known
+    /// targets, or `None` when it can't be decoded.
     fn apply_targets_update(&self, update: TargetsUpdate) -> Option<bool> {
         let applied = match update.payload {
             TargetsPayload::Whole(packed) => {
@@ -295,13 +297,13 @@
             }
         };
         if applied && !update.watchable {
-            // A watch of the store from here would miss that some entries are gone.
+            // A watch from this revision would miss the removal of entries.
             self.forget_targets_revision();
         }
         Some(applied)
     }
 
-    /// Takes over what another VM told of the ranges; `None` when it does not fit what is known.
+    /// Applies a ranges update; `None` when it can't be decoded or does not apply to the known map.
     fn apply_ranges_update(&self, as_of: Revision, payload: Option<RangesPayload>) -> Option<()> {
         let whole = match payload {
             Some(RangesPayload::Steps(steps)) => {
@@ -316,17 +318,17 @@
     }
 }
 
-/// A part that another VM told whole.
+/// Unpacks a part, and logs why it is unusable if that fails.
 fn unpack<T: Decode<()>>(part: &str, packed: &Packed<T>) -> Option<T> {
     packed.unpack().map_err(|error| log_unusable(part, &error)).ok()
 }
 
-/// Logs that a part can't be told to other VMs.
+/// Logs that a part can't be encoded for other VMs.
 fn log_unsendable(part: &str, reason: &dyn std::fmt::Display) {
     log_event(EventName::PartUntold, &[("part", &part), ("reason", reason)]);
 }
 
-/// Logs that a part of what another VM told can't be used.
+/// Logs that a part of another VM's update is unusable.
 pub(super) fn log_unusable(part: &str, reason: &dyn std::fmt::Display) {
     log_event(EventName::NewsUnusable, &[("part", &part), ("reason", reason)]);
 }
