--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -72,7 +72,7 @@
         metrics,
         policy: parts.policy,
         cold_settings: parts.cold,
-        leaving_grace: parts.leaving_window,
+        leaving_window: parts.leaving_window,
     });
     follow_beliefs(&worker, &parts.receivers);
     for listener in std::iter::once(parts.readiness).chain(parts.metrics) {
--- a/crates/nickellead_gateway/src/worker/attempts.rs
+++ b/crates/nickellead_gateway/src/worker/attempts.rs
@@ -24,20 +24,20 @@
         &self,
         planned: &IncomingRequest,
     ) -> Result<TargetResponse, ErrorKind> {
-        let segment = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
-        self.record_request(planned, &segment.service);
-        if !self.is_admitted(planned, &segment.service) {
+        let weighted = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
+        self.record_request(planned, &weighted.service);
+        if !self.is_admitted(planned, &weighted.service) {
             return Err(ErrorKind::Overloaded);
         }
         let mut attempts = AttemptState::default();
         loop {
-            let waiting = self.wait_for_target(planned, &segment.service, &attempts);
+            let waiting = self.wait_for_target(planned, &weighted.service, &attempts);
             let target = match self.until_drain_end(waiting).await.flatten() {
                 Ok(target) => target,
                 Err(kind) => return finish(attempts, kind),
             };
             let since = Instant::now();
-            let sending = self.attempt(planned, &segment.service, &target);
+            let sending = self.attempt(planned, &weighted.service, &target);
             let end = match self.until_drain_end(sending).await {
                 Ok(end) => end,
                 Err(kind) => {
@@ -45,16 +45,16 @@
                     return finish(attempts, kind);
                 }
             };
-            self.apply_signals(&segment.service, &target, end.signals, end.sent_at);
+            self.apply_signals(&weighted.service, &target, end.signals, end.sent_at);
             match self.next_step(planned, &target, &mut attempts, end, since.elapsed()) {
                 NextStep::Done(response) => return Ok(response),
                 NextStep::Fail(kind) => return finish(attempts, kind),
                 NextStep::Retry => {}
             }
-            if self.owner_is_paused(&segment.service, &target) {
+            if self.owner_is_paused(&weighted.service, &target) {
                 return finish(attempts, ErrorKind::TargetPaused);
             }
-            if !self.take_retry_permit(planned, &segment.service, &attempts) {
+            if !self.take_retry_permit(planned, &weighted.service, &attempts) {
                 let kind = attempts.refusal_kind();
                 return finish(attempts, kind);
             }
@@ -77,7 +77,7 @@
     fn record_request(&self, planned: &IncomingRequest, service: &str) {
         self.retry_budget.borrow_mut().record_request(service);
         if let Some(key) = planned.key
-            && self.state.borrow().is_divided(service)
+            && self.state.borrow().is_sharded(service)
         {
             self.load_counter.record_request(service, key);
         }
@@ -124,7 +124,7 @@
         let plan = AttemptPlan {
             target,
             repeat: planned.route.rule.repeat,
-            leaving_window: self.leaving_grace,
+            leaving_window: self.leaving_window,
             deadline: until,
         };
         let guard = AbandonGuard { target, since: Instant::now(), armed: true };
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether each key of a service has one owner.
-    fn is_divided(&self, service: &str) -> bool {
+    fn is_sharded(&self, service: &str) -> bool {
         self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 }
@@ -107,7 +107,7 @@
     pub(crate) metrics: GatewayMetrics,
     pub(crate) policy: PolicySettings,
     pub(crate) cold_settings: Option<ColdSettings>,
-    pub(crate) leaving_grace: Duration,
+    pub(crate) leaving_window: Duration,
 }
 
 /// The request path of one VM.
@@ -131,7 +131,7 @@
     /// Bounds on what all VMs together send to a cold target.
     cold_settings: Option<ColdSettings>,
     /// How long an owner that announced that it leaves still receives the requests for its keys.
-    leaving_grace: Duration,
+    leaving_window: Duration,
 }
 
 /// State of a request across its attempts.
@@ -189,7 +189,7 @@
             metrics: context.metrics,
             policy: context.policy,
             cold_settings: context.cold_settings,
-            leaving_grace: context.leaving_grace,
+            leaving_window: context.leaving_window,
         })
     }
 
--- a/crates/nickellead_gateway/src/worker/responses.rs
+++ b/crates/nickellead_gateway/src/worker/responses.rs
@@ -162,12 +162,11 @@
     }
 }
 
-/// The service and key that determine the owner, or `None` if the route has no service with owned
-/// keys.
+/// The service and key that determine the owner, or `None` if the route has no sharded service.
 fn owned_key<'a>(state: &WorkerState, planned: &'a IncomingRequest) -> Option<(&'a str, &'a u16)> {
-    let divided = |segment: &&WeightedService| state.is_divided(&segment.service);
-    let segment = planned.route.rule.split.iter().find(divided)?;
-    Some((&segment.service, planned.key.as_ref()?))
+    let sharded = |weighted: &&WeightedService| state.is_sharded(&weighted.service);
+    let weighted = planned.route.rule.split.iter().find(sharded)?;
+    Some((&weighted.service, planned.key.as_ref()?))
 }
 
 /// Converts a target's response for the caller, without connection headers.
--- a/crates/nickellead_gateway/src/worker/selection.rs
+++ b/crates/nickellead_gateway/src/worker/selection.rs
@@ -41,10 +41,10 @@
                 TargetCapacity::Available(target) => return Ok(target),
                 TargetCapacity::Full(target) => target,
             };
-            let divided = self.state.borrow().is_divided(service);
+            let sharded = self.state.borrow().is_sharded(service);
             let service_queue = self.queue(service);
-            let queue = if divided { &target.wait_queue } else { &*service_queue };
-            let ahead = match divided {
+            let queue = if sharded { &target.wait_queue } else { &*service_queue };
+            let ahead = match sharded {
                 true => queue.waiting(),
                 // The queue of the service is served by all targets of the subset.
                 false => queue.waiting() / self.subset_size(service),
@@ -124,7 +124,7 @@
         waited.map_err(|_| ErrorKind::NotConfigured)
     }
 
-    /// The wait queue that all targets of a service without owned keys share.
+    /// The wait queue that all targets of an unsharded service share.
     pub(super) fn queue(&self, service: &str) -> Rc<WaitQueue> {
         let mut queues = self.queues.borrow_mut();
         match queues.get(service) {
@@ -141,7 +141,7 @@
         service: &str,
         attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
-        if self.state.borrow().is_divided(service) {
+        if self.state.borrow().is_sharded(service) {
             let key = planned.key.ok_or(ErrorKind::KeyMissing)?;
             return self.wait_for_owner(planned, service, key, attempts).await;
         }
@@ -150,26 +150,26 @@
 
     /// Whether the target owns keys and is paused, so that no other target can serve the request.
     pub(super) fn owner_is_paused(&self, service: &str, target: &RegisteredTarget) -> bool {
-        let divided = self.state.borrow().is_divided(service);
-        divided && target.signals.get().is_paused(BootClock.now())
+        let sharded = self.state.borrow().is_sharded(service);
+        sharded && target.signals.get().is_paused(BootClock.now())
     }
 
     /// Time until the pause of the first target that can serve the request ends.
     pub(super) fn remaining_pause(&self, planned: &IncomingRequest) -> Duration {
         let now = BootClock.now();
         let state = self.state.borrow();
-        let service_pause = |segment: &WeightedService| match planned
+        let service_pause = |weighted: &WeightedService| match planned
             .key
-            .filter(|_| state.is_divided(&segment.service))
+            .filter(|_| state.is_sharded(&weighted.service))
         {
             Some(key) => {
-                let range = state.ranges.find(&segment.service, key);
+                let range = state.ranges.find(&weighted.service, key);
                 let owner =
                     range.and_then(|range| state.registry.find_instance(range.owner.as_ref()?));
                 owner.map(|owner| owner.signals.get().pause_remaining(now))
             }
             None => {
-                let members = state.registry.available(&segment.service).iter();
+                let members = state.registry.available(&weighted.service).iter();
                 members.map(|target| target.signals.get().pause_remaining(now)).min()
             }
         };
@@ -185,9 +185,9 @@
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         let state = self.state.borrow();
         let now = BootClock.now();
-        let grace = self.leaving_grace;
+        let leaving_window = self.leaving_window;
         let usable = |target: &&Rc<RegisteredTarget>| {
-            !tried.contains(&target.id) && target.may_send(grace, now)
+            !tried.contains(&target.id) && target.may_send(leaving_window, now)
         };
         let reachable = |target: &&Rc<RegisteredTarget>| {
             let is_reachable =
@@ -262,7 +262,7 @@
         let owner = owner.and_then(|owner| state.registry.find_instance(owner));
         if let Some(leaving) = owner.and_then(|owner| owner.signals.get().leaving_since()) {
             // The keys have been waiting for a move since the owner announced that it leaves.
-            return now.since(leaving) >= self.leaving_grace.max(MAX_PLANNED_MOVE_DURATION);
+            return now.since(leaving) >= self.leaving_window.max(MAX_PLANNED_MOVE_DURATION);
         }
         if owner.is_some() {
             ownerless.remove(&range.fence);
@@ -286,7 +286,7 @@
             range.owner.as_ref().filter(|owner| !attempts.misdirected.contains(&owner.id))?;
         let target = state.registry.find_instance(owner)?;
         let now = BootClock.now();
-        let stays = target.signals.get().serves_owned_keys(self.leaving_grace, now);
+        let stays = target.signals.get().serves_owned_keys(self.leaving_window, now);
         let accepts = stays && !state.zones.is_closed(&target.zone, now);
         accepts.then(|| Rc::clone(target))
     }
