--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -11,8 +11,8 @@
 use nickellead_time::BootClock;
 
 use super::ControlLoop;
-use super::loads::RECENT_LENGTH;
-use super::ranges::BALANCE_PERIOD;
+use super::loads::RECENT_LOAD_WINDOW_S;
+use super::ranges::BALANCE_INTERVAL;
 use crate::admission::{AdmissionRange, AdmissionTable};
 use crate::fleet::{AnnouncementStamp, MandateTerm};
 use crate::load_counter::{ResponseCounts, VmId};
@@ -20,33 +20,33 @@
 
 /// Weight of one answer in what is known of a target's speed, as a part of the weight that a VM gives
 /// the answers that it sees itself: all VMs together see many times as many.
-const ANSWER_WEIGHT: f64 = 0.2;
+const RESPONSE_WEIGHT_FACTOR: f64 = 0.2;
 /// An average of several answers counts as at most this many.
-const ANSWERS_AT_ONCE: u32 = 8;
+const MAX_SAMPLES_PER_MEAN: u32 = 8;
 /// VMs a slot from which an owner's limit is told to all.
 ///
 /// Up to here one request of each VM is a queue of two behind each slot, which VMs' own limits and turns
 /// see and keep in time; limits for all showed no gain on 12 VMs and six slots. Beyond it one request of
 /// each VM is too much.
-const VMS_A_SLOT: usize = 3;
+const MAX_UNLIMITED_VMS_PER_SLOT: usize = 3;
 /// A VM that has not reported for this long takes no requests.
-const REPORTER_SILENCE: Duration = Duration::from_millis(2_500);
+const REPORTER_TTL: Duration = Duration::from_millis(2_500);
 /// A target that serves nobody and asks for a pause is to own keys again after so many of them: it often
 /// asks for the next one, and keys that came back would wait for one more move.
-const RETURN_PAUSES: u32 = 2;
+const OWNERSHIP_SUSPENSION_PAUSES: u32 = 2;
 /// For so long all VMs are told that no target names a limit any more.
-const LIMITS_OVER_TOLD: Duration = Duration::from_secs(5);
+const LIMITS_END_ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
 /// Most ranges of crowded owners that are told: each costs every VM about ten bytes a word.
-const RANGES_TOLD: usize = 256;
+const MAX_ANNOUNCED_RANGES: usize = 256;
 
 /// What all VMs saw of one target.
 #[derive(Clone, Copy)]
-pub(super) struct TargetFigures {
+pub(super) struct TargetStats {
     /// Which life of the target they are of.
     born: Option<u64>,
-    pub(super) unhurried: BaselineLatency,
+    pub(super) baseline_latency: BaselineLatency,
     /// Latency target of its requests, in milliseconds; 0 before the first answer.
-    goal_ms: f64,
+    latency_target_ms: f64,
     /// What it did since the last look.
     counts: ResponseCounts,
     admission: OwnerAdmission,
@@ -54,12 +54,12 @@
     paused_until: Timestamp,
 }
 
-impl Default for TargetFigures {
+impl Default for TargetStats {
     fn default() -> Self {
         Self {
             born: None,
-            unhurried: BaselineLatency::with_weight_factor(ANSWER_WEIGHT),
-            goal_ms: 0.0,
+            baseline_latency: BaselineLatency::with_weight_factor(RESPONSE_WEIGHT_FACTOR),
+            latency_target_ms: 0.0,
             counts: ResponseCounts::default(),
             admission: OwnerAdmission::default(),
             paused_until: Timestamp::ZERO,
@@ -67,19 +67,20 @@
     }
 }
 
-impl TargetFigures {
-    fn note(&mut self, counts: ResponseCounts, now: Timestamp) {
+impl TargetStats {
+    fn record(&mut self, counts: ResponseCounts, now: Timestamp) {
         self.counts = counts;
         if counts.max_pause_ms > 0 {
             let pause = Duration::from_millis(counts.max_pause_ms.into());
-            self.paused_until = self.paused_until.max(now + pause * RETURN_PAUSES);
+            self.paused_until = self.paused_until.max(now + pause * OWNERSHIP_SUSPENSION_PAUSES);
         }
         if counts.responses == 0 {
             return;
         }
         let mean = counts.total_ms / f64::from(counts.responses);
-        (0..counts.responses.min(ANSWERS_AT_ONCE)).for_each(|_| self.unhurried.record(mean));
-        self.goal_ms = counts.total_ms / counts.latency_target_ratios.max(f64::EPSILON);
+        (0..counts.responses.min(MAX_SAMPLES_PER_MEAN))
+            .for_each(|_| self.baseline_latency.record(mean));
+        self.latency_target_ms = counts.total_ms / counts.latency_target_ratios.max(f64::EPSILON);
     }
 
     /// Whether it asked for pauses and serves nobody now: one that serves others is overrun, and moves by load
@@ -90,15 +91,15 @@
 
     /// The report of the last period, for an owner with these slots and this demand a second.
     fn report(&self, slots: u32, demand: f64) -> OwnerReport {
-        let millis = self.unhurried.millis();
-        let known = self.unhurried.samples() > 0 && millis > 0.0;
+        let millis = self.baseline_latency.millis();
+        let is_known = self.baseline_latency.samples() > 0 && millis > 0.0;
         OwnerReport {
             responses: self.counts.responses,
             latency_ratio_sum: self.counts.latency_target_ratios,
             demand,
-            baseline_rate: known.then(|| f64::from(slots) * 1_000.0 / millis),
-            baseline_latency_ratio: if known {
-                millis / self.goal_ms.max(f64::EPSILON)
+            baseline_rate: is_known.then(|| f64::from(slots) * 1_000.0 / millis),
+            baseline_latency_ratio: if is_known {
+                millis / self.latency_target_ms.max(f64::EPSILON)
             } else {
                 0.0
             },
@@ -108,30 +109,30 @@
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what became of requests since the last look.
-    pub(super) fn note_answers(&self, mut answers: HashMap<String, ResponseCounts>) {
+    pub(super) fn record_responses(&self, mut responses: HashMap<String, ResponseCounts>) {
         let listed = self.cluster.targets();
         let now = BootClock.now();
-        let mut figures = self.figures.borrow_mut();
+        let mut stats = self.target_stats.borrow_mut();
         let born = |target: &String| listed.get(target).map(|entry| entry.born);
         // What one life of a target did says nothing of the next one.
-        figures.retain(|target, one| born(target) == Some(one.born));
-        for (target, one) in figures.iter_mut() {
-            one.note(answers.remove(target).unwrap_or_default(), now);
+        stats.retain(|target, stats| born(target) == Some(stats.born));
+        for (target, stats) in stats.iter_mut() {
+            stats.record(responses.remove(target).unwrap_or_default(), now);
         }
-        for (target, counts) in answers {
+        for (target, counts) in responses {
             if let Some(born) = born(&target) {
-                let fresh = TargetFigures { born, ..TargetFigures::default() };
-                figures.entry(target).or_insert(fresh).note(counts, now);
+                let fresh = TargetStats { born, ..TargetStats::default() };
+                stats.entry(target).or_insert(fresh).record(counts, now);
             }
         }
     }
 
     /// Takes in which VMs reported load.
-    pub(super) fn note_reporters(&self, vms: BTreeSet<VmId>) {
+    pub(super) fn record_reporters(&self, vms: BTreeSet<VmId>) {
         let now = BootClock.now();
         let mut reporters = self.reporters.borrow_mut();
         reporters.extend(vms.into_iter().map(|vm| (vm, now)));
-        reporters.retain(|_, seen| now.since(*seen) < REPORTER_SILENCE);
+        reporters.retain(|_, seen| now.since(*seen) < REPORTER_TTL);
     }
 
     /// How many VMs take requests; this one does not report to itself.
@@ -140,34 +141,38 @@
     }
 
     /// Decides what crowded owners may be sent, and tells it with the limits that targets name.
-    pub(super) fn tell_admissions(&self) {
+    pub(super) fn announce_admissions(&self) {
         let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let services = match self.policy.shared_admission.is_on() {
             true => self.limit_services(),
             false => BTreeMap::new(),
         };
-        let limits = self.named_limits();
+        let limits = self.active_limits();
         let now = BootClock.now();
         if !limits.is_empty() {
-            self.limits_told.set(now);
+            self.limits_announced_at.set(now);
         }
         // That there are none any more is told for a while: some VMs may hear of nothing else.
-        let over = now.since(self.limits_told.get()) < LIMITS_OVER_TOLD;
-        if services.is_empty() && limits.is_empty() && !over && self.cluster.has_no_admissions() {
+        let recently_ended = now.since(self.limits_announced_at.get()) < LIMITS_END_ANNOUNCE_PERIOD;
+        if services.is_empty()
+            && limits.is_empty()
+            && !recently_ended
+            && self.cluster.has_no_admissions()
+        {
             return;
         }
-        let word = self.admission_word.get() + 1;
-        self.admission_word.set(word);
-        let stamp = AnnouncementStamp { term, sequence: word };
+        let sequence = self.admission_sequence.get() + 1;
+        self.admission_sequence.set(sequence);
+        let stamp = AnnouncementStamp { term, sequence };
         self.cluster.apply_admissions(AdmissionTable { stamp, services, limits });
     }
 
     /// The ranges whose owners are crowded, by service; services without any are left out.
     fn limit_services(&self) -> BTreeMap<String, Vec<AdmissionRange>> {
-        let keeper = self.keeper.borrow();
-        let Some(keeper) = keeper.as_ref() else { return BTreeMap::new() };
+        let controller = self.controller.borrow();
+        let Some(controller) = controller.as_ref() else { return BTreeMap::new() };
         let recent = self.recent_loads.borrow();
-        let services = keeper.map().services.iter();
+        let services = controller.map().services.iter();
         services
             .filter_map(|(service, ranges)| {
                 let limited = self.limit_service(ranges, recent.get(service)?);
@@ -188,7 +193,7 @@
         let limited = owners.flat_map(|(owner, ranges)| self.limit_owner(owner, &ranges, load));
         let mut limited: Vec<AdmissionRange> = limited.collect();
         limited.sort_by(|a, b| a.min_fraction().total_cmp(&b.min_fraction()));
-        limited.truncate(RANGES_TOLD);
+        limited.truncate(MAX_ANNOUNCED_RANGES);
         limited.sort_by_key(|range| range.first);
         limited
     }
@@ -201,21 +206,21 @@
         load: &KeyLoad,
     ) -> Vec<AdmissionRange> {
         let targets = self.cluster.targets();
-        let mut figures = self.figures.borrow_mut();
-        let (Some(known), Some(target)) = (figures.get_mut(owner), targets.get(owner)) else {
+        let mut stats = self.target_stats.borrow_mut();
+        let (Some(known), Some(target)) = (stats.get_mut(owner), targets.get(owner)) else {
             return Vec::new();
         };
-        if self.count_vms() <= VMS_A_SLOT * target.slots as usize {
+        if self.count_vms() <= MAX_UNLIMITED_VMS_PER_SLOT * target.slots as usize {
             return Vec::new();
         }
         let counts = ranges.iter().flat_map(|range| load.counts(range.first, range.last));
         let demands: Vec<(u16, f64)> =
-            counts.map(|(key, count)| (key, count / RECENT_LENGTH)).collect();
+            counts.map(|(key, count)| (key, count / RECENT_LOAD_WINDOW_S)).collect();
         let demand = demands.iter().map(|(_, demand)| demand).sum();
-        let before = known.admission.rate();
-        known.admission.update(&known.report(target.slots, demand), BALANCE_PERIOD);
+        let previous_rate = known.admission.rate();
+        known.admission.update(&known.report(target.slots, demand), BALANCE_INTERVAL);
         let rate = known.admission.rate();
-        if before.is_some() != rate.is_some() {
+        if previous_rate.is_some() != rate.is_some() {
             log_limit(owner, rate, demand, known);
         }
         let Some(rate) = rate else { return Vec::new() };
@@ -224,31 +229,31 @@
 }
 
 /// An owner's ranges with the shares of their keys; those that may be sent everything are left out.
-fn limited_ranges(ranges: &[&RangeRecord], shares: &AdmissionFractions) -> Vec<AdmissionRange> {
+fn limited_ranges(ranges: &[&RangeRecord], fractions: &AdmissionFractions) -> Vec<AdmissionRange> {
     let hot_of = |range: &RangeRecord| {
-        let inside = shares.hot.iter().filter(|(key, _)| range.contains(*key));
-        inside.map(|(key, share)| (*key, *share as f32)).collect()
+        let inside = fractions.hot.iter().filter(|(key, _)| range.contains(*key));
+        inside.map(|(key, fraction)| (*key, *fraction as f32)).collect()
     };
     let ranges = ranges.iter().map(|range| AdmissionRange {
         first: range.first,
         last: range.last,
-        fraction: shares.light as f32,
+        fraction: fractions.light as f32,
         hot: hot_of(range),
     });
     ranges.filter(|range| range.min_fraction() < 1.0).collect()
 }
 
-fn log_limit(owner: &str, rate: Option<f64>, demand: f64, figures: &TargetFigures) {
+fn log_limit(owner: &str, rate: Option<f64>, demand: f64, stats: &TargetStats) {
     let rate = rate.map_or("none".to_owned(), |rate| format!("{rate:.1}"));
     let demand = format!("{demand:.1}");
-    let unhurried = format!("{:.0}", figures.unhurried.millis());
+    let baseline_latency = format!("{:.0}", stats.baseline_latency.millis());
     let pairs: [(&str, &dyn std::fmt::Display); 6] = [
         ("target", &owner),
         ("rate", &rate),
         ("demand", &demand),
-        ("answered", &figures.counts.responses),
-        ("lost", &figures.counts.lost),
-        ("unhurried_ms", &unhurried),
+        ("answered", &stats.counts.responses),
+        ("lost", &stats.counts.lost),
+        ("unhurried_ms", &baseline_latency),
     ];
     log_event(EventName::OwnerLimited, &pairs);
 }
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -11,17 +11,17 @@
 use crate::{OrderPort, ServiceRule, StorePort, TargetEntry, TargetList, TargetState};
 
 /// Targets of a new service are taken to be complete when none came for this long.
-const ARRIVAL_TIME: Duration = Duration::from_millis(1_200);
+const ARRIVAL_WINDOW: Duration = Duration::from_millis(1_200);
 /// Answers from which a target's speed is known: fewer may all have been long or short by chance.
-const SPEED_ANSWERS: u32 = 8;
+const MIN_LATENCY_SAMPLES: u32 = 8;
 /// Cold targets own no keys while at least this part of a service is warm: a cold one bears a request in
 /// five or so of what a warm one does, and falls over for a hot key.
-const WARM_PART_LEAST: f64 = 0.5;
+const MIN_WARM_FRACTION: f64 = 0.5;
 /// Targets that serve nobody for a while own no keys while at least this part of a service serves: the keys
 /// of more would overrun the others, and their pauses would go round.
-const SERVING_PART_LEAST: f64 = 0.5;
+const MIN_SERVING_FRACTION: f64 = 0.5;
 /// No target counts as more than this many times faster or slower than the usual one.
-const SPEED_FACTOR_MOST: f64 = 3.0;
+const MAX_SPEED_FACTOR: f64 = 3.0;
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Who may own ranges now, by service.
@@ -31,15 +31,15 @@
             return Vec::new();
         };
         self.zones.borrow_mut().update(&self.cluster.evacuations().value, BootClock.now());
-        let divided = declared.services.iter().filter(|(_, rule)| rule.sharded);
-        let speeds = match self.policy.measured_speeds.is_on() {
-            true => self.known_speeds(),
+        let sharded = declared.services.iter().filter(|(_, rule)| rule.sharded);
+        let latencies_ms = match self.policy.measured_speeds.is_on() {
+            true => self.known_latencies_ms(),
             false => HashMap::new(),
         };
-        divided
+        sharded
             .map(|(service, rule)| {
                 let usable = self.usable_owners(service, rule, &targets);
-                (service.clone(), self.owner_candidates(&usable, &speeds))
+                (service.clone(), self.owner_candidates(&usable, &latencies_ms))
             })
             .collect()
     }
@@ -55,63 +55,64 @@
         let zones = self.zones.borrow();
         let leaving = self.leaving.borrow();
         let now = BootClock.now();
-        let is_open = |target: &&TargetEntry| {
+        let is_available = |target: &&TargetEntry| {
             let ready = target.service == service && target.state == TargetState::Ready;
-            let leaves = !leaving.is_empty() && leaving.contains(&target.instance());
-            ready && !leaves && !zones.is_evacuated(&target.zone)
+            let is_leaving = !leaving.is_empty() && leaving.contains(&target.instance());
+            ready && !is_leaving && !zones.is_evacuated(&target.zone)
         };
-        let open: Vec<&TargetEntry> = targets.values().filter(is_open).collect();
-        let open = self.without_paused(open, now);
-        let Some(cold) = self.cold.and(rule.cold) else { return open };
+        let available: Vec<&TargetEntry> = targets.values().filter(is_available).collect();
+        let available = self.without_paused(available, now);
+        let Some(cold) = self.cold_settings.and(rule.cold) else { return available };
         let is_warm = |target: &TargetEntry| {
             let returned = zones.returned_at(&target.zone);
-            let turned = returned.is_some_and(|since| now.since(since) < cold.duration);
-            !turned && self.cluster.cold_left(target).is_zero()
+            let recently_returned = returned.is_some_and(|since| now.since(since) < cold.duration);
+            !recently_returned && self.cluster.cold_left(target).is_zero()
         };
-        unless_too_few(open, WARM_PART_LEAST, is_warm)
+        filter_unless_too_few(available, MIN_WARM_FRACTION, is_warm)
     }
 
     /// Leaves out targets that serve nobody for a while, unless they are many.
     fn without_paused<'a>(
         &self,
-        open: Vec<&'a TargetEntry>,
+        available: Vec<&'a TargetEntry>,
         now: Timestamp,
     ) -> Vec<&'a TargetEntry> {
         if !self.policy.pause_moves.is_on() {
-            return open;
+            return available;
         }
-        let figures = self.figures.borrow();
+        let stats = self.target_stats.borrow();
         let serves =
-            |target: &TargetEntry| figures.get(&target.id).is_none_or(|one| !one.is_paused(now));
-        unless_too_few(open, SERVING_PART_LEAST, serves)
+            |target: &TargetEntry| stats.get(&target.id).is_none_or(|one| !one.is_paused(now));
+        filter_unless_too_few(available, MIN_SERVING_FRACTION, serves)
     }
 
     /// Time of an unhurried answer by target, in milliseconds, of those that have shown it.
-    fn known_speeds(&self) -> HashMap<String, f64> {
-        let figures = self.figures.borrow();
-        let known = figures.iter().filter(|(_, one)| one.unhurried.samples() >= SPEED_ANSWERS);
-        known.map(|(target, one)| (target.clone(), one.unhurried.millis())).collect()
+    fn known_latencies_ms(&self) -> HashMap<String, f64> {
+        let stats = self.target_stats.borrow();
+        let known =
+            stats.iter().filter(|(_, one)| one.baseline_latency.samples() >= MIN_LATENCY_SAMPLES);
+        known.map(|(target, one)| (target.clone(), one.baseline_latency.millis())).collect()
     }
 
     /// These targets as owners, with what each can take.
     fn owner_candidates(
         &self,
         usable: &[&TargetEntry],
-        speeds: &HashMap<String, f64>,
+        latencies_ms: &HashMap<String, f64>,
     ) -> Vec<OwnerCandidate> {
         let known: Vec<f64> =
-            usable.iter().filter_map(|target| speeds.get(&target.id).copied()).collect();
-        let usual = known.iter().sum::<f64>() / known.len().max(1) as f64;
+            usable.iter().filter_map(|target| latencies_ms.get(&target.id).copied()).collect();
+        let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
         // Unknown targets count as ordinary.
-        let factor = |target: &TargetEntry| match speeds.get(&target.id) {
-            Some(millis) if usual > 0.0 => speed_factor(usual, *millis),
+        let factor = |target: &TargetEntry| match latencies_ms.get(&target.id) {
+            Some(millis) if mean > 0.0 => speed_factor(mean, *millis),
             _ => 1.0,
         };
         let candidate = |target: &&TargetEntry| {
-            let holder = target.instance();
-            let most = self.borne_load(&holder);
+            let instance = target.instance();
+            let max_load = self.max_load(&instance);
             let capacity = f64::from(target.slots.max(1)) * factor(target);
-            OwnerCandidate { holder, capacity, most }
+            OwnerCandidate { holder: instance, capacity, most: max_load }
         };
         usable.iter().map(candidate).collect()
     }
@@ -120,46 +121,46 @@
     pub(super) fn update_candidates(&self) {
         let candidates = self.candidates();
         let loads = self.loads.borrow();
-        let mut keeper = self.keeper.borrow_mut();
-        let Some(keeper) = keeper.as_mut() else { return };
+        let mut controller = self.controller.borrow_mut();
+        let Some(controller) = controller.as_mut() else { return };
         let empty = KeyLoad::default();
         let now = BootClock.now();
         for (service, candidates) in candidates {
-            let fresh = !keeper.map().services.contains_key(&service);
-            if fresh && !self.have_arrived(&service, candidates.len(), now) {
+            let is_new = !controller.map().services.contains_key(&service);
+            if is_new && !self.is_arrival_complete(&service, candidates.len(), now) {
                 continue;
             }
             let load = loads.get(&service).unwrap_or(&empty);
-            keeper.set_candidates(&service, &candidates, |ranges, _, _| {
+            controller.set_candidates(&service, &candidates, |ranges, _, _| {
                 nickellead_range::least_loaded_owner(ranges, &candidates, load)
             });
         }
     }
 
     /// Whether the number of a new service's targets has stood long enough to divide its keys.
-    fn have_arrived(&self, service: &str, count: usize, now: Timestamp) -> bool {
+    fn is_arrival_complete(&self, service: &str, count: usize, now: Timestamp) -> bool {
         let mut arrivals = self.arrivals.borrow_mut();
         let entry = arrivals.entry(service.to_owned()).or_insert((count, now));
         if entry.0 != count {
             *entry = (count, now);
         }
-        now.since(entry.1) >= ARRIVAL_TIME
+        now.since(entry.1) >= ARRIVAL_WINDOW
     }
 }
 
 /// Those of the targets that are wanted, or all when those are less than this part of them.
-fn unless_too_few(
+fn filter_unless_too_few(
     targets: Vec<&TargetEntry>,
-    least: f64,
+    min_fraction: f64,
     wanted: impl Fn(&TargetEntry) -> bool,
 ) -> Vec<&TargetEntry> {
     let chosen: Vec<&TargetEntry> =
         targets.iter().copied().filter(|target| wanted(target)).collect();
-    let enough = chosen.len() as f64 >= targets.len() as f64 * least;
+    let enough = chosen.len() as f64 >= targets.len() as f64 * min_fraction;
     if enough { chosen } else { targets }
 }
 
 /// How many times faster than usual a target is that takes `millis`.
-fn speed_factor(usual: f64, millis: f64) -> f64 {
-    (usual / millis.max(1.0)).clamp(1.0 / SPEED_FACTOR_MOST, SPEED_FACTOR_MOST)
+fn speed_factor(mean: f64, millis: f64) -> f64 {
+    (mean / millis.max(1.0)).clamp(1.0 / MAX_SPEED_FACTOR, MAX_SPEED_FACTOR)
 }
--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -14,7 +14,7 @@
 /// Least time between two words about the fleet, and from taking the mandate to the first one: by then all
 /// VMs have reported, who do so each half second by way of one other VM at most. While VMs are stopped in
 /// turn each word costs all others eight bytes a VM.
-const FLEET_PAUSE: Duration = Duration::from_millis(1_500);
+const FLEET_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// The last word about the fleet in one term of the mandate.
 #[derive(Clone, Copy)]
@@ -26,21 +26,21 @@
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Tells which VMs take requests, if that has changed.
-    pub(super) fn tell_fleet(&self) {
+    pub(super) fn announce_fleet(&self) {
         let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let now = BootClock.now();
-        let word = self.fleet_word.get().filter(|word| word.term == term);
-        let Some(word) = word else {
-            return self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
+        let last = self.fleet_announcement.get().filter(|last| last.term == term);
+        let Some(last) = last else {
+            return self.fleet_announcement.set(Some(FleetAnnouncement { term, since: now }));
         };
-        let vms: BTreeSet<_> = self.reporters.borrow().keys().copied().chain([self.mark]).collect();
+        let vms: BTreeSet<_> =
+            self.reporters.borrow().keys().copied().chain([self.vm_id]).collect();
         let known = self.cluster.fleet();
-        if now.since(word.since) < FLEET_PAUSE || known.vms == vms {
+        if now.since(last.since) < FLEET_ANNOUNCE_INTERVAL || known.vms == vms {
             return;
         }
-        self.fleet_word.set(Some(FleetAnnouncement { term, since: now }));
-        let word = if known.stamp.term == term { known.stamp.sequence + 1 } else { 1 };
-        self.cluster
-            .apply_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence: word }, vms });
+        self.fleet_announcement.set(Some(FleetAnnouncement { term, since: now }));
+        let sequence = if known.stamp.term == term { known.stamp.sequence + 1 } else { 1 };
+        self.cluster.apply_fleet(FleetTable { stamp: AnnouncementStamp { term, sequence }, vms });
     }
 }
--- a/crates/nickellead_gateway/src/control/loads.rs
+++ b/crates/nickellead_gateway/src/control/loads.rs
@@ -7,29 +7,29 @@
 use crate::{OrderPort, StorePort};
 
 /// What is left of counted requests after one such period: about the last three seconds count.
-const LOAD_KEPT: f64 = 0.83;
-/// Seconds that counted requests stand for: a period of half a second, and [`LOAD_KEPT`] as much of each before.
-pub(super) const LOAD_LENGTH: f64 = 0.5 / (1.0 - LOAD_KEPT);
+const LOAD_DECAY: f64 = 0.83;
+/// Seconds that counted requests stand for: a period of half a second, and [`LOAD_DECAY`] as much of each before.
+pub(super) const LOAD_WINDOW_S: f64 = 0.5 / (1.0 - LOAD_DECAY);
 /// The same for what counts as recent.
-const RECENT_KEPT: f64 = 0.5;
+const RECENT_LOAD_DECAY: f64 = 0.5;
 /// Seconds that recent counts stand for: a period of half a second, and half as much of each before.
-pub(super) const RECENT_LENGTH: f64 = 1.0;
+pub(super) const RECENT_LOAD_WINDOW_S: f64 = 1.0;
 /// Moves under way that are always allowed; each stalls its keys for about the length of a request.
-const MOVES_LEAST: usize = 4;
+const MIN_CONCURRENT_MOVES: usize = 4;
 /// One more move may be under way for this many targets.
-const TARGETS_A_MOVE: usize = 8;
+const TARGETS_PER_MOVE: usize = 8;
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Takes in what callers asked for since the last look.
-    pub(super) fn note_load(&self) {
+    pub(super) fn record_load(&self) {
         let mut loads = self.loads.borrow_mut();
         let mut recent = self.recent_loads.borrow_mut();
-        loads.values_mut().for_each(|load| load.decay(LOAD_KEPT));
-        recent.values_mut().for_each(|load| load.decay(RECENT_KEPT));
+        loads.values_mut().for_each(|load| load.decay(LOAD_DECAY));
+        recent.values_mut().for_each(|load| load.decay(RECENT_LOAD_DECAY));
         if self.relay.reports_load() {
             return;
         }
-        let counts = self.keys.take();
+        let counts = self.load_counter.take();
         for (service, counts) in counts.keys {
             let recent = recent.entry(service.clone()).or_default();
             let load = loads.entry(service).or_default();
@@ -39,9 +39,9 @@
             }
         }
         drop((loads, recent));
-        self.note_reporters(counts.vms);
-        self.note_answers(counts.responses);
-        self.note_limits(counts.limits);
+        self.record_reporters(counts.vms);
+        self.record_responses(counts.responses);
+        self.record_limits(counts.limits);
     }
 
     /// Starts moves that spread the load better.
@@ -51,24 +51,24 @@
         }
         let candidates = self.candidates();
         let loads = self.loads.borrow();
-        let mut keeper = self.keeper.borrow_mut();
-        let Some(keeper) = keeper.as_mut() else { return };
+        let mut controller = self.controller.borrow_mut();
+        let Some(controller) = controller.as_mut() else { return };
         for (service, candidates) in candidates {
             let (Some(ranges), Some(load)) =
-                (keeper.map().services.get(&service), loads.get(&service))
+                (controller.map().services.get(&service), loads.get(&service))
             else {
                 continue;
             };
             let unsettled = ranges.iter().filter(|range| !range.settled).count();
-            let most = MOVES_LEAST.max(candidates.len() / TARGETS_A_MOVE);
-            if unsettled >= most {
+            let max_moves = MIN_CONCURRENT_MOVES.max(candidates.len() / TARGETS_PER_MOVE);
+            if unsettled >= max_moves {
                 continue;
             }
-            let moves = plan_moves(ranges, &candidates, load, most - unsettled);
+            let moves = plan_moves(ranges, &candidates, load, max_moves - unsettled);
             moves.iter().for_each(|proposal| log_move(&service, proposal));
-            keeper.start_moves(&service, &moves);
+            controller.start_moves(&service, &moves);
         }
-        keeper.merge();
+        controller.merge();
     }
 }
 
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -15,70 +15,72 @@
 
 /// VMs of a fleet that starts for the first time ask for the mandate spread over this time, weak ones
 /// after the others: one of them makes it, and the others find it made.
-const START_SPREAD: Duration = Duration::from_millis(250);
+const START_JITTER: Duration = Duration::from_millis(250);
 /// A VM that has just started follows the store when it found no other source within this time.
-const SEEK_TIME: Duration = Duration::from_millis(1_000);
+const UPSTREAM_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Between two tries to find a source within that time.
-const SEEK_PAUSE: Duration = Duration::from_millis(40);
+const UPSTREAM_SEARCH_INTERVAL: Duration = Duration::from_millis(40);
 /// VMs that lose their source at once turn to the store spread over this time.
-const FALL_BACK_SPREAD: Duration = Duration::from_millis(400);
+const FALL_BACK_JITTER: Duration = Duration::from_millis(400);
 /// Between two probes of the store by the mandate's holder.
-const PROBE_PERIOD: Duration = Duration::from_millis(330);
+const PROBE_INTERVAL: Duration = Duration::from_millis(330);
 /// How long a probe may take; the store takes about 4 ms when well.
-const PROBE_TIME: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Between two looks at a store that answers neither this VM nor the one at the root: whoever hears of
 /// its return sooner tells it. Of 295 VMs each made three calls a second before.
-const AWAY_LOOK: Duration = Duration::from_millis(2_000);
+const UNAVAILABLE_STORE_CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Between two looks of a VM that follows another whether the mandate has run out.
-const FREE_LOOK: Duration = Duration::from_millis(100);
+const MANDATE_EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two looks at the mandate, as a part of [`MANDATE_POLL_INTERVAL`].
-const LOOK_LEAST: f64 = 0.8;
+const MIN_POLL_INTERVAL_FRACTION: f64 = 0.8;
 /// Looks of many VMs are spread over this part of [`MANDATE_POLL_INTERVAL`], so that their mean is kept.
-const LOOK_SPREAD: f64 = 0.4;
+const POLL_JITTER_FRACTION: f64 = 0.4;
 
 /// Takes, renews and watches the mandate.
-pub(super) async fn keep_mandate<S: StorePort, O: OrderPort>(duty: Rc<ControlLoop<S, O>>) {
+pub(super) async fn run_mandate_loop<S: StorePort, O: OrderPort>(control: Rc<ControlLoop<S, O>>) {
     let started = BootClock.now();
-    let mut spread = false;
+    let mut has_delayed_start = false;
     loop {
-        if duty.mandate.borrow().is_held() {
-            duty.write_mandate().await;
-            duty.probe_store(MANDATE_RENEWAL_INTERVAL).await;
+        if control.mandate.borrow().is_held() {
+            control.write_mandate().await;
+            control.probe_store(MANDATE_RENEWAL_INTERVAL).await;
             continue;
         }
-        let Ok(holder) = duty.read_mandate().await else {
-            duty.end_seeking(started);
-            duty.health.backoff().await;
+        let Ok(holder) = control.read_mandate().await else {
+            control.end_upstream_search(started);
+            control.health.backoff().await;
             continue;
         };
-        if duty.mandate.borrow().is_absent() && !std::mem::replace(&mut spread, true) {
-            tokio::time::sleep(duty.extra_wait + START_SPREAD.mul_f64(fastrand::f64())).await;
+        if control.mandate.borrow().is_absent() && !std::mem::replace(&mut has_delayed_start, true)
+        {
+            tokio::time::sleep(control.takeover_delay + START_JITTER.mul_f64(fastrand::f64()))
+                .await;
             continue;
         }
-        if duty.wants_mandate() {
-            duty.write_mandate().await;
+        if control.may_take_mandate() {
+            control.write_mandate().await;
         } else if let Some(holder) = holder {
             tokio::select! {
-                () = duty.follow(holder) => {}
-                () = duty.sees_free_mandate() => continue,
+                () = control.subscribe(holder) => {}
+                () = control.wait_for_mandate_expiry() => continue,
             }
-            if duty.seeks_on(started) {
+            if control.is_searching(started) {
                 // The holder may have just started as well.
-                tokio::time::sleep(SEEK_PAUSE).await;
+                tokio::time::sleep(UPSTREAM_SEARCH_INTERVAL).await;
                 continue;
             }
-            duty.fall_back().await;
+            control.fall_back_to_store().await;
         }
-        duty.end_seeking(started);
-        let spread = LOOK_LEAST + fastrand::f64() * LOOK_SPREAD;
-        tokio::time::sleep(MANDATE_POLL_INTERVAL.mul_f64(spread)).await;
+        control.end_upstream_search(started);
+        let fraction = MIN_POLL_INTERVAL_FRACTION + fastrand::f64() * POLL_JITTER_FRACTION;
+        tokio::time::sleep(MANDATE_POLL_INTERVAL.mul_f64(fraction)).await;
     }
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Whether a VM that knows nothing yet goes on looking for another VM that tells it.
-    fn seeks_on(&self, started: Timestamp) -> bool {
-        let within = BootClock.now().since(started) < SEEK_TIME;
+    fn is_searching(&self, started: Timestamp) -> bool {
+        let within = BootClock.now().since(started) < UPSTREAM_SEARCH_TIMEOUT;
         self.cluster.known().declarations.is_none() && within
     }
 
@@ -86,27 +88,31 @@
     ///
     /// While the store answers nobody, VMs keep their places: those that hear of its return first tell
     /// all others.
-    async fn follow(&self, holder: SocketAddr) {
-        let mut rule = UnavailableStorePolicy::Leave;
+    async fn subscribe(&self, holder: SocketAddr) {
+        let mut policy = UnavailableStorePolicy::Leave;
         loop {
             let outcome = tokio::select! {
-                outcome = self.relay.subscribe(holder, rule) => outcome,
-                () = self.hears_store(rule) => return,
+                outcome = self.relay.subscribe(holder, policy) => outcome,
+                () = self.wait_for_store_response(policy) => return,
             };
             if outcome == SubscriptionEnd::NoUpstream || self.read_mandate().await.is_ok() {
                 return;
             }
-            rule = UnavailableStorePolicy::Stay;
+            policy = UnavailableStorePolicy::Stay;
         }
     }
 
     /// Waits until the store answers this VM though it does not answer the VM at the root.
-    async fn hears_store(&self, rule: UnavailableStorePolicy) {
-        if rule == UnavailableStorePolicy::Leave {
+    async fn wait_for_store_response(&self, policy: UnavailableStorePolicy) {
+        if policy == UnavailableStorePolicy::Leave {
             return std::future::pending().await;
         }
         loop {
-            tokio::time::sleep(AWAY_LOOK.mul_f64(LOOK_LEAST + fastrand::f64() * LOOK_SPREAD)).await;
+            tokio::time::sleep(
+                UNAVAILABLE_STORE_CHECK_INTERVAL
+                    .mul_f64(MIN_POLL_INTERVAL_FRACTION + fastrand::f64() * POLL_JITTER_FRACTION),
+            )
+            .await;
             if self.relay.is_root_store_unavailable() && self.read_mandate().await.is_ok() {
                 return;
             }
@@ -114,9 +120,9 @@
     }
 
     /// Follows the store after the source was lost: a watch from what is known costs one call a part.
-    async fn fall_back(&self) {
+    async fn fall_back_to_store(&self) {
         if !self.relay.has_subscribers() {
-            tokio::time::sleep(FALL_BACK_SPREAD.mul_f64(fastrand::f64())).await;
+            tokio::time::sleep(FALL_BACK_JITTER.mul_f64(fastrand::f64())).await;
             return self.relay.watch_store();
         }
         // Others have their news from this VM, and need not follow it to the store if it is in touch
@@ -130,18 +136,18 @@
     ///
     /// VMs that keep their source while the holder is lost would else leave the mandate to those that
     /// followed the holder itself, whether they are strong enough or not.
-    async fn sees_free_mandate(&self) {
-        if !self.extra_wait.is_zero() {
+    async fn wait_for_mandate_expiry(&self) {
+        if !self.takeover_delay.is_zero() {
             return std::future::pending().await;
         }
-        while !self.wants_mandate() {
-            tokio::time::sleep(FREE_LOOK).await;
+        while !self.may_take_mandate() {
+            tokio::time::sleep(MANDATE_EXPIRY_CHECK_INTERVAL).await;
         }
     }
 
     /// Follows the store once the time for finding another source is over.
-    fn end_seeking(&self, started: Timestamp) {
-        if BootClock.now().since(started) > SEEK_TIME {
+    fn end_upstream_search(&self, started: Timestamp) {
+        if BootClock.now().since(started) > UPSTREAM_SEARCH_TIMEOUT {
             self.relay.watch_store();
         }
     }
@@ -176,9 +182,9 @@
     /// Other VMs rely on it that the holder notices soon when the store is out of its reach.
     async fn probe_store(&self, wait: Duration) {
         let until = Instant::now() + wait;
-        while Instant::now() + PROBE_PERIOD < until {
-            tokio::time::sleep(PROBE_PERIOD).await;
-            let probe = tokio::time::timeout(PROBE_TIME, self.store.mandate_cached()).await;
+        while Instant::now() + PROBE_INTERVAL < until {
+            tokio::time::sleep(PROBE_INTERVAL).await;
+            let probe = tokio::time::timeout(PROBE_TIMEOUT, self.store.mandate_cached()).await;
             let probe = probe.unwrap_or(Err(StoreError::NoResponse("probe".to_owned())));
             self.health.record(&probe);
         }
@@ -186,7 +192,7 @@
     }
 
     /// Whether this VM may take the mandate and there is anything to decide for its holder.
-    fn wants_mandate(&self) -> bool {
+    fn may_take_mandate(&self) -> bool {
         let mandate = self.mandate.borrow();
         !mandate.is_held() && mandate.due_write(BootClock.now()).is_some()
     }
@@ -194,17 +200,17 @@
     async fn write_mandate(&self) {
         self.mandate.borrow_mut().note_era(self.store.era(), BootClock.now());
         if self.mandate.borrow().is_held() && self.mandate.borrow().is_outdated() {
-            self.read_mandate_anew().await;
+            self.reread_mandate().await;
         }
         let Some(write) = self.mandate.borrow().due_write(BootClock.now()) else {
             return;
         };
         let sent = BootClock.now();
-        let answer = self.store.write_mandate(write.expected, &write.record).await;
-        self.health.record(&answer);
+        let response = self.store.write_mandate(write.expected, &write.record).await;
+        self.health.record(&response);
         let taken = self.mandate.borrow_mut().note_written(
             &write,
-            answer.as_ref().ok().copied(),
+            response.as_ref().ok().copied(),
             sent,
             BootClock.now(),
         );
@@ -213,16 +219,16 @@
         }
         if taken {
             log_event(EventName::MandateTaken, &[("vm", &self.vm)]);
-            self.keeper.replace(None);
+            self.controller.replace(None);
             self.relay.set_holds_mandate(true);
         }
-        if answer.is_err() {
-            self.read_mandate_anew().await;
+        if response.is_err() {
+            self.reread_mandate().await;
         }
     }
 
     /// What does the store hold, after a write that failed, or after it came back from a copy?
-    async fn read_mandate_anew(&self) {
+    async fn reread_mandate(&self) {
         let read = self.store.mandate().await;
         self.health.record(&read);
         let Ok(read) = read else { return };
@@ -230,7 +236,7 @@
         let mut mandate = self.mandate.borrow_mut();
         mandate.note_era(self.store.era(), now);
         if mandate.note_read(read, now) {
-            self.keeper.replace(None);
+            self.controller.replace(None);
             self.relay.set_holds_mandate(false);
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
                 [("vm", &self.vm), ("renewals", &mandate.renewals())];
@@ -239,9 +245,9 @@
     }
 
     /// Whether this VM has seen late orders and the map in the store does not say so.
-    fn knows_unwritten_lateness(&self) -> bool {
+    fn has_unrecorded_late_orders(&self) -> bool {
         let written = self.cluster.ranges().is_some_and(|ranges| ranges.value.late);
-        self.lateness.borrow().is_late(BootClock.now()) && !written
+        self.late_orders.borrow().is_late(BootClock.now()) && !written
     }
 
     /// Waits until the store can be told that this VM gives the mandate back.
@@ -250,25 +256,25 @@
     /// stands until its process ends: keys keep their owners, and a successor that finds the
     /// mandate given back knows that no unanswered order is left, where it would else reckon with
     /// late ones for a quarter of a minute.
-    pub(super) async fn wait_to_give_back(&self) {
+    pub(super) async fn wait_to_release_mandate(&self) {
         while self.mandate.borrow().is_held() && self.health.is_unavailable() {
-            self.probe_store(PROBE_PERIOD + PROBE_TIME).await;
+            self.probe_store(PROBE_INTERVAL + PROBE_TIMEOUT).await;
         }
     }
 
     /// Gives the mandate back so that another VM takes it without waiting.
-    pub(super) async fn give_back(&self) {
-        let unwritten = self.knows_unwritten_lateness();
-        self.keeper.replace(None);
-        if unwritten {
+    pub(super) async fn release_mandate(&self) {
+        let unrecorded = self.has_unrecorded_late_orders();
+        self.controller.replace(None);
+        if unrecorded {
             // A successor must not take it that this VM left nothing unsaid.
             return log_event(EventName::MandateHandedOver, &[("done", &false)]);
         }
         let write = self.mandate.borrow_mut().vacating_write(BootClock.now());
         if let Some(write) = write {
-            let answer = self.store.write_mandate(write.expected, &write.record).await;
-            let done = answer.is_ok();
-            if let Ok(revision) = answer {
+            let response = self.store.write_mandate(write.expected, &write.record).await;
+            let done = response.is_ok();
+            if let Ok(revision) = response {
                 // Those who follow this VM hear of it at once.
                 self.cluster.apply_mandate(&Stored { revision, value: write.record });
             }
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -11,25 +11,25 @@
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Writes the map if it changed.
     pub(super) fn write_map(self: &Rc<Self>) {
-        let write = self.keeper.borrow_mut().as_mut().and_then(RangeController::take_write);
+        let write = self.controller.borrow_mut().as_mut().and_then(RangeController::take_write);
         let Some((map, edit)) = write else { return };
         // The revision belongs to this keeper: one made before the write starts has another.
         let expected = self.map_revision.get();
-        let duty = Rc::clone(self);
+        let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let answer = duty.store.write_ranges(expected, &map).await;
-            duty.health.record(&answer);
+            let response = control.store.write_ranges(expected, &map).await;
+            control.health.record(&response);
             let writer = map.writer;
-            match answer {
-                Ok(revision) => duty.note_map_written(revision, map, edit),
-                Err(error) => duty.read_map_back(writer, &error).await,
+            match response {
+                Ok(revision) => control.record_map_written(revision, map, edit),
+                Err(error) => control.reread_map(writer, &error).await,
             }
         });
     }
 
     /// Takes in that a map is in the store, and tells it on.
-    fn note_map_written(&self, revision: Revision, map: RangeMap, edit: u64) {
-        if self.keeper_writer() == Some(map.writer) {
+    fn record_map_written(&self, revision: Revision, map: RangeMap, edit: u64) {
+        if self.controller_writer() == Some(map.writer) {
             self.map_revision.set(Some(revision));
         }
         let pairs: [(&str, &dyn std::fmt::Display); 4] = [
@@ -39,10 +39,10 @@
             ("late_orders", &map.late),
         ];
         log_event(EventName::RangesWritten, &pairs);
-        if let Some(keeper) = self.keeper.borrow_mut().as_mut()
-            && keeper.map().writer == map.writer
+        if let Some(controller) = self.controller.borrow_mut().as_mut()
+            && controller.map().writer == map.writer
         {
-            keeper.note_written(edit);
+            controller.note_written(edit);
         }
         self.cluster.apply_ranges(revision, Some(Stored { revision, value: map }));
     }
@@ -50,42 +50,42 @@
     /// After a write that failed: did it succeed all the same, or did somebody else write?
     ///
     /// A keeper that was made meanwhile has read the store itself and is left alone.
-    async fn read_map_back(&self, writer: u64, error: &StoreError) {
+    async fn reread_map(&self, writer: u64, error: &StoreError) {
         self.health.backoff().await;
         let read = self.store.ranges().await;
         self.health.record(&read);
-        if self.keeper_writer() != Some(writer) {
+        if self.controller_writer() != Some(writer) {
             return;
         }
         let Ok(Snapshot { as_of, value: found }) = read else {
-            return self.note_write_failed();
+            return self.record_write_failed();
         };
         match classify_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
             WriteOutcome::Done { revision, edit } => {
                 if let Some(found) = found {
-                    self.note_map_written(revision, found.value, edit);
+                    self.record_map_written(revision, found.value, edit);
                 }
             }
             WriteOutcome::Superseded => {
                 log_event(EventName::CoordinatorSuperseded, &[("reason", error)]);
-                self.keeper.replace(None);
+                self.controller.replace(None);
             }
             WriteOutcome::Undone(expected) => {
                 self.map_revision.set(expected);
-                self.note_write_failed();
+                self.record_write_failed();
             }
         }
     }
 
     /// Lets the keeper write again.
-    fn note_write_failed(&self) {
-        if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
-            keeper.note_write_failed();
+    fn record_write_failed(&self) {
+        if let Some(controller) = self.controller.borrow_mut().as_mut() {
+            controller.note_write_failed();
         }
     }
 
     /// By which number the keeper's writes are told from those of others; `None` without a keeper.
-    pub(super) fn keeper_writer(&self) -> Option<u64> {
-        self.keeper.borrow().as_ref().map(|keeper| keeper.map().writer)
+    pub(super) fn controller_writer(&self) -> Option<u64> {
+        self.controller.borrow().as_ref().map(|controller| controller.map().writer)
     }
 }
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -27,11 +27,11 @@
 use nickellead_range::{KeyLoad, LateOrderDetector, MandateState, RangeController, TargetInstance};
 use tokio::sync::watch;
 
-use self::admission::TargetFigures;
+use self::admission::TargetStats;
 use self::fleet::FleetAnnouncement;
 use self::limits::ReportedTargetLimit;
-use self::mandate::keep_mandate;
-use self::ranges::keep_ranges;
+use self::mandate::run_mandate_loop;
+use self::ranges::run_ranges_loop;
 use crate::cluster_state::ClusterState;
 use crate::evacuation::ZoneStates;
 use crate::load_counter::{LoadCounter, VmId};
@@ -45,15 +45,15 @@
 };
 
 /// A VM whose share of a core is smaller takes the mandate only if nobody else does.
-const WEAK_SHARE: f64 = 0.2;
+const WEAK_VM_CPU_SHARE: f64 = 0.2;
 /// So does a VM with a slower link, in Mbit/s: the holder reads declarations whole, a megabyte with
 /// 4,300 routes, and tells fifteen others of each change.
-const WEAK_LINK: f64 = 50.0;
+const WEAK_VM_LINK_MBPS: f64 = 50.0;
 /// How much longer than others such a VM waits before it takes the mandate.
-const WEAK_WAIT: Duration = Duration::from_millis(900);
+const WEAK_VM_TAKEOVER_DELAY: Duration = Duration::from_millis(900);
 
 /// Numbers drawn at random are below this one.
-const NUMBERS_END: u64 = 1 << 53;
+const RANDOM_ID_END: u64 = 1 << 53;
 
 /// What the control duty is built from.
 pub(crate) struct ControlContext {
@@ -65,12 +65,12 @@
     pub(crate) link_mbps: Option<f64>,
     pub(crate) incarnation: u64,
     pub(crate) ownership: OwnershipSettings,
-    pub(crate) beliefs: StateSenders,
-    pub(crate) keys: LoadCounter,
+    pub(crate) senders: StateSenders,
+    pub(crate) load_counter: LoadCounter,
     pub(crate) metrics: ControlMetrics,
     pub(crate) policy: PolicySettings,
     /// What all VMs together may send a cold target.
-    pub(crate) cold: Option<ColdSettings>,
+    pub(crate) cold_settings: Option<ColdSettings>,
     /// Whether availability zones may be evacuated.
     pub(crate) follows_evacuations: bool,
 }
@@ -84,11 +84,11 @@
     relay: Rc<UpdateRelay>,
     mandate: RefCell<MandateState>,
     /// Stands while this VM holds the mandate, also when it ran out.
-    keeper: RefCell<Option<RangeController>>,
+    controller: RefCell<Option<RangeController>>,
     /// The store's era at the last look.
     era: Cell<StoreEra>,
     /// Whether the mandate allowed nothing at the last look.
-    paused: Cell<bool>,
+    without_authority: Cell<bool>,
     /// Revision of the map that the keeper works on; `None` while there is no map.
     map_revision: Cell<Option<Revision>>,
     /// Load by key, by service.
@@ -96,55 +96,56 @@
     /// The same over the last second only.
     recent_loads: RefCell<HashMap<String, KeyLoad>>,
     /// What all VMs saw of each target.
-    figures: RefCell<HashMap<String, TargetFigures>>,
+    target_stats: RefCell<HashMap<String, TargetStats>>,
     /// VMs that reported load, and when they last did.
     reporters: RefCell<HashMap<VmId, Timestamp>>,
     /// Number of the last word about crowded owners.
-    admission_word: Cell<u64>,
+    admission_sequence: Cell<u64>,
     /// Limits that listed targets name.
     limits: RefCell<BTreeMap<TargetInstance, ReportedTargetLimit>>,
     /// When a limit of a target was last told.
-    limits_told: Cell<Timestamp>,
+    limits_announced_at: Cell<Timestamp>,
     /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
     leaving: RefCell<BTreeSet<TargetInstance>>,
     /// What this process saw of late orders, over all its keepers.
-    lateness: RefCell<LateOrderDetector>,
+    late_orders: RefCell<LateOrderDetector>,
     /// Number of a service's targets, and since when it stands.
     arrivals: RefCell<HashMap<String, (usize, Timestamp)>>,
     /// What the request duty has counted since the last look.
-    keys: LoadCounter,
+    load_counter: LoadCounter,
     ownership: OwnershipSettings,
     metrics: ControlMetrics,
     policy: PolicySettings,
-    cold: Option<ColdSettings>,
+    cold_settings: Option<ColdSettings>,
     follows_evacuations: bool,
     /// Which zones are evacuated, and since when.
     zones: RefCell<ZoneStates>,
     /// This VM, among those that take requests.
-    mark: VmId,
+    vm_id: VmId,
     /// The last word about the fleet.
-    fleet_word: Cell<Option<FleetAnnouncement>>,
+    fleet_announcement: Cell<Option<FleetAnnouncement>>,
     vm: String,
     /// How much longer than others this VM waits before it takes the mandate.
-    extra_wait: Duration,
+    takeover_delay: Duration,
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    fn new(parts: ControlContext, store: S, orders: O) -> Rc<Self> {
-        let health = Rc::new(StoreHealth::new(parts.metrics.clone()));
-        let cluster = Rc::new(ClusterState::new(parts.incarnation, parts.beliefs));
-        let address = parts.announced_address;
-        let mark = VmId::new(&parts.vm, &parts.zone);
+    fn new(context: ControlContext, store: S, orders: O) -> Rc<Self> {
+        let health = Rc::new(StoreHealth::new(context.metrics.clone()));
+        let cluster = Rc::new(ClusterState::new(context.incarnation, context.senders));
+        let address = context.announced_address;
+        let vm_id = VmId::new(&context.vm, &context.zone);
         let relay = UpdateRelay::new(
-            parts.zone,
+            context.zone,
             address,
             Rc::clone(&cluster),
             Rc::clone(&health),
-            parts.keys.clone(),
-            mark,
+            context.load_counter.clone(),
+            vm_id,
         );
-        let extra_wait = extra_wait(parts.cpu_share, parts.link_mbps);
-        let mandate = MandateState::new(parts.vm.clone(), address, parts.incarnation, extra_wait);
+        let takeover_delay = takeover_delay(context.cpu_share, context.link_mbps);
+        let mandate =
+            MandateState::new(context.vm.clone(), address, context.incarnation, takeover_delay);
         Rc::new(Self {
             store: Rc::new(store),
             orders: Rc::new(orders),
@@ -152,36 +153,36 @@
             cluster,
             relay,
             mandate: RefCell::new(mandate),
-            keeper: RefCell::new(None),
+            controller: RefCell::new(None),
             era: Cell::default(),
-            paused: Cell::new(false),
+            without_authority: Cell::new(false),
             map_revision: Cell::new(None),
             loads: RefCell::default(),
             recent_loads: RefCell::default(),
-            figures: RefCell::default(),
+            target_stats: RefCell::default(),
             reporters: RefCell::default(),
-            admission_word: Cell::new(0),
+            admission_sequence: Cell::new(0),
             limits: RefCell::default(),
-            limits_told: Cell::new(Timestamp::ZERO),
+            limits_announced_at: Cell::new(Timestamp::ZERO),
             leaving: RefCell::default(),
-            lateness: RefCell::default(),
+            late_orders: RefCell::default(),
             arrivals: RefCell::default(),
-            keys: parts.keys,
-            ownership: parts.ownership,
-            metrics: parts.metrics,
-            policy: parts.policy,
-            cold: parts.cold,
-            follows_evacuations: parts.follows_evacuations,
+            load_counter: context.load_counter,
+            ownership: context.ownership,
+            metrics: context.metrics,
+            policy: context.policy,
+            cold_settings: context.cold_settings,
+            follows_evacuations: context.follows_evacuations,
             zones: RefCell::default(),
-            mark,
-            fleet_word: Cell::new(None),
-            vm: parts.vm,
-            extra_wait,
+            vm_id,
+            fleet_announcement: Cell::new(None),
+            vm: context.vm,
+            takeover_delay,
         })
     }
 
     /// Starts telling other VMs the news, and following the store where no VM tells them.
-    fn start_news(&self, peers: TcpListener) {
+    fn start_updates(&self, peers: TcpListener) {
         // Only a listener outside a runtime fails here, and this function runs inside one.
         if let Ok(listener) = tokio::net::TcpListener::from_std(peers) {
             actix_rt::spawn(serve_updates(Rc::clone(&self.relay), listener));
@@ -205,7 +206,7 @@
 /// # Errors
 /// The system's error when it refuses a thread.
 pub(crate) fn start<S: StorePort, O: OrderPort>(
-    parts: ControlContext,
+    context: ControlContext,
     peers: TcpListener,
     stopping: watch::Receiver<bool>,
     ports: impl FnOnce() -> (S, O) + Send + 'static,
@@ -214,7 +215,7 @@
         if let Ok(runtime) = actix_rt::Runtime::new() {
             runtime.block_on(async move {
                 let (store, orders) = ports();
-                run(ControlLoop::new(parts, store, orders), peers, stopping).await;
+                run(ControlLoop::new(context, store, orders), peers, stopping).await;
             });
         }
     })
@@ -222,20 +223,20 @@
 
 /// Runs the control duty until the VM stops, and then tells news until the process ends.
 async fn run<S: StorePort, O: OrderPort>(
-    duty: Rc<ControlLoop<S, O>>,
+    control: Rc<ControlLoop<S, O>>,
     peers: TcpListener,
     mut stopping: watch::Receiver<bool>,
 ) {
-    duty.start_news(peers);
-    let mandate = actix_rt::spawn(keep_mandate(Rc::clone(&duty)));
-    let ranges = actix_rt::spawn(keep_ranges(Rc::clone(&duty)));
+    control.start_updates(peers);
+    let mandate = actix_rt::spawn(run_mandate_loop(Rc::clone(&control)));
+    let ranges = actix_rt::spawn(run_ranges_loop(Rc::clone(&control)));
     // An error would mean that the VM is gone, and then this thread may end too.
     let _ = stopping.wait_for(|stopping| *stopping).await;
     mandate.abort();
-    duty.wait_to_give_back().await;
+    control.wait_to_release_mandate().await;
     ranges.abort();
-    duty.give_back().await;
-    duty.relay.watch_store();
+    control.release_mandate().await;
+    control.relay.watch_store();
     // The request duty still needs news until the process ends.
     std::future::pending::<()>().await;
 }
@@ -243,14 +244,15 @@
 /// A number that tells lives of processes, or keepers, apart.
 ///
 /// It stands in documents of the store, and JSON keeps whole numbers exactly below 2^53 only.
-pub(crate) fn draw_number() -> u64 {
-    fastrand::u64(1..NUMBERS_END)
+pub(crate) fn random_id() -> u64 {
+    fastrand::u64(1..RANDOM_ID_END)
 }
 
 /// How much longer than others a VM waits before it takes the mandate.
 ///
 /// Its holder serves all other VMs, which a weak VM does only if nobody else will.
-fn extra_wait(cpu_share: f64, link_mbps: Option<f64>) -> Duration {
-    let weak = cpu_share < WEAK_SHARE || link_mbps.is_some_and(|rate| rate < WEAK_LINK);
-    if weak { WEAK_WAIT } else { Duration::ZERO }
+fn takeover_delay(cpu_share: f64, link_mbps: Option<f64>) -> Duration {
+    let weak =
+        cpu_share < WEAK_VM_CPU_SHARE || link_mbps.is_some_and(|rate| rate < WEAK_VM_LINK_MBPS);
+    if weak { WEAK_VM_TAKEOVER_DELAY } else { Duration::ZERO }
 }
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -8,42 +8,44 @@
 use nickellead_time::BootClock;
 
 use super::ControlLoop;
-use super::ranges::keeper_settings;
+use super::ranges::controller_settings;
 use crate::{OrderPort, OrderReply, StorePort};
 
 /// How long a target may take to answer a grant.
-const GRANT_WAIT: Duration = Duration::from_millis(500);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same for a release, which is answered when the work that runs has ended.
-const RELEASE_WAIT: Duration = Duration::from_millis(1_500);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// An order that was decided longer ago is not sent: what it rests on may have changed.
-const ORDER_AGE_MOST: Duration = Duration::from_millis(250);
+const MAX_ORDER_AGE: Duration = Duration::from_millis(250);
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Sends the orders that are due, all at once, and takes in what becomes of each.
-    pub(super) fn send_orders(self: &Rc<Self>, power: MandateAuthority) {
-        let writer = self.keeper_writer();
-        let only = power == MandateAuthority::RenewalsOnly;
-        let orders = match self.keeper.borrow_mut().as_mut() {
-            Some(keeper) => keeper.due_orders(BootClock.now(), only, &self.lateness.borrow()),
+    pub(super) fn send_orders(self: &Rc<Self>, authority: MandateAuthority) {
+        let writer = self.controller_writer();
+        let renewals_only = authority == MandateAuthority::RenewalsOnly;
+        let orders = match self.controller.borrow_mut().as_mut() {
+            Some(controller) => {
+                controller.due_orders(BootClock.now(), renewals_only, &self.late_orders.borrow())
+            }
             None => return,
         };
         for order in orders {
-            let duty = Rc::clone(self);
+            let control = Rc::clone(self);
             actix_rt::spawn(async move {
-                let reply = duty.send_order(&order).await;
+                let reply = control.send_order(&order).await;
                 if reply.leaving {
-                    duty.note_leaving(&order.holder, "order");
+                    control.record_leaving(&order.holder, "order");
                 }
                 let outcome = reply.outcome;
                 let now = BootClock.now();
-                let longest = keeper_settings(&duty.ownership).late_lease_bound(now);
-                duty.lateness.borrow_mut().note(&order, &outcome, now, longest);
-                if duty.keeper_writer() != writer {
+                let late_until = controller_settings(&control.ownership).late_lease_bound(now);
+                control.late_orders.borrow_mut().note(&order, &outcome, now, late_until);
+                if control.controller_writer() != writer {
                     // The keeper made meanwhile reckons with every order sent before it.
                     return;
                 }
-                if let Some(keeper) = duty.keeper.borrow_mut().as_mut() {
-                    keeper.note_outcome(&order, outcome, now);
+                if let Some(controller) = control.controller.borrow_mut().as_mut() {
+                    controller.note_outcome(&order, outcome, now);
                 }
             });
         }
@@ -52,16 +54,16 @@
     /// Sends one order, if the mandate still allows it at this moment.
     async fn send_order(&self, order: &RangeOrder) -> OrderReply {
         let now = BootClock.now();
-        let power = self.mandate.borrow().power(now);
-        let stale = now.since(order.decided) > ORDER_AGE_MOST;
-        if power == MandateAuthority::None || stale {
+        let authority = self.mandate.borrow().power(now);
+        let is_stale = now.since(order.decided) > MAX_ORDER_AGE;
+        if authority == MandateAuthority::None || is_stale {
             return OrderOutcome::NotSent.into();
         }
-        let wait = match order.kind {
-            OrderKind::Grant(_) => GRANT_WAIT,
-            OrderKind::Release => RELEASE_WAIT,
+        let timeout = match order.kind {
+            OrderKind::Grant(_) => GRANT_TIMEOUT,
+            OrderKind::Release => RELEASE_TIMEOUT,
         };
-        let reply = self.orders.send(order, self.ownership.lease(), wait).await;
+        let reply = self.orders.send(order, self.ownership.lease(), timeout).await;
         self.metrics.count_order(&order.kind, &reply.outcome);
         if !matches!(reply.outcome, OrderOutcome::Done(_)) {
             log_order_failure(order, &reply.outcome);
@@ -70,18 +72,18 @@
     }
 
     /// Takes in which targets told any VM that they leave.
-    pub(super) fn take_in_leaving(&self) {
-        for holder in self.keys.take_leaving() {
-            self.note_leaving(&holder, "request");
+    pub(super) fn record_reported_leaving(&self) {
+        for instance in self.load_counter.take_leaving() {
+            self.record_leaving(&instance, "request");
         }
-        self.leaving.borrow_mut().retain(|holder| self.cluster.is_listed(holder));
+        self.leaving.borrow_mut().retain(|instance| self.cluster.is_listed(instance));
     }
 
     /// Notes a target that said that it leaves: it is to own no keys.
-    fn note_leaving(&self, holder: &TargetInstance, told_on: &str) {
-        if self.leaving.borrow_mut().insert(holder.clone()) {
+    fn record_leaving(&self, instance: &TargetInstance, reported_on: &str) {
+        if self.leaving.borrow_mut().insert(instance.clone()) {
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
-                [("target", &holder.id), ("told_on", &told_on)];
+                [("target", &instance.id), ("told_on", &reported_on)];
             log_event(EventName::OwnerLeaving, &pairs);
         }
     }
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -10,90 +10,90 @@
 };
 use nickellead_time::BootClock;
 
-use super::{ControlLoop, draw_number};
+use super::{ControlLoop, random_id};
 use crate::{OrderPort, OwnershipSettings, StorePort, Stored};
 
 /// Between two looks at what is due.
-const TICK: Duration = Duration::from_millis(40);
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 /// Between two looks at how load is spread.
-pub(super) const BALANCE_PERIOD: Duration = Duration::from_millis(500);
+pub(super) const BALANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Between two tries of an order that was not answered: well below a target's hold time.
-const ORDER_RETRY: Duration = Duration::from_millis(200);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Added to every bound on a hold, for messages under way.
-const HOLD_MARGIN: Duration = Duration::from_millis(300);
+const LEASE_MARGIN: Duration = Duration::from_millis(300);
 /// `applied_late` carries orders out 2 to 12 seconds later.
-const ORDER_LATENESS: Duration = Duration::from_millis(12_500);
+const MAX_ORDER_LATENESS: Duration = Duration::from_millis(12_500);
 /// The users' targets may run 2% slow.
-const TARGET_DRIFT: DriftBound = DriftBound { parts_per_million: 25_000 };
+const MAX_TARGET_CLOCK_DRIFT: DriftBound = DriftBound { parts_per_million: 25_000 };
 
 /// Sees to orders, writes of the map and moves, for as long as the mandate is held.
-pub(super) async fn keep_ranges<S: StorePort, O: OrderPort>(duty: Rc<ControlLoop<S, O>>) {
-    let mut ticks = tokio::time::interval(TICK);
+pub(super) async fn run_ranges_loop<S: StorePort, O: OrderPort>(control: Rc<ControlLoop<S, O>>) {
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut balanced = BootClock.now();
     loop {
         ticks.tick().await;
         let now = BootClock.now();
-        if now.since(balanced) >= BALANCE_PERIOD {
+        if now.since(balanced) >= BALANCE_INTERVAL {
             balanced = now;
-            duty.note_load();
+            control.record_load();
         }
-        duty.see_to_ranges(now, balanced == now).await;
+        control.update_ranges(now, balanced == now).await;
     }
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
     /// Does what is due now, as far as this VM's mandate allows.
-    async fn see_to_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
-        self.note_told_mandate(now);
-        self.note_era(now);
-        let power = self.mandate.borrow().power(now);
-        self.metrics.mandate.set(i64::from(power != MandateAuthority::None));
-        if power == MandateAuthority::None {
+    async fn update_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
+        self.apply_received_mandate(now);
+        self.observe_era(now);
+        let authority = self.mandate.borrow().power(now);
+        self.metrics.mandate.set(i64::from(authority != MandateAuthority::None));
+        if authority == MandateAuthority::None {
             // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
             // the keeper knows of holds stays true, and lost targets' keys need not wait anew.
             if !self.mandate.borrow().is_held() {
-                self.keeper.replace(None);
+                self.controller.replace(None);
             }
-            self.paused.set(true);
+            self.without_authority.set(true);
             return;
         }
-        if self.paused.replace(false)
-            && let Some(keeper) = self.keeper.borrow_mut().as_mut()
+        if self.without_authority.replace(false)
+            && let Some(controller) = self.controller.borrow_mut().as_mut()
         {
-            keeper.resume();
+            controller.resume();
         }
-        if self.keeper_is_outdated() {
-            self.keeper.replace(None);
+        if self.is_controller_outdated() {
+            self.controller.replace(None);
         }
-        let missing = self.keeper.borrow().is_none();
-        if missing && (power != MandateAuthority::Full || !self.load_keeper().await) {
+        let is_missing = self.controller.borrow().is_none();
+        if is_missing && (authority != MandateAuthority::Full || !self.load_controller().await) {
             return;
         }
-        if power == MandateAuthority::Full {
+        if authority == MandateAuthority::Full {
             self.enter_era();
-            self.take_in_leaving();
+            self.record_reported_leaving();
             self.update_candidates();
             if balance_due {
                 self.balance();
-                self.tell_admissions();
-                self.tell_fleet();
+                self.announce_admissions();
+                self.announce_fleet();
             }
             self.write_map();
         }
-        self.send_orders(power);
+        self.send_orders(authority);
     }
 
     /// Takes in the mandate that another VM told, as soon as it is told.
-    fn note_told_mandate(&self, now: Timestamp) {
+    fn apply_received_mandate(&self, now: Timestamp) {
         if !self.mandate.borrow().is_held() {
-            let told = self.cluster.mandate();
-            self.mandate.borrow_mut().note_read(told, now);
+            let mandate = self.cluster.mandate();
+            self.mandate.borrow_mut().note_read(mandate, now);
         }
     }
 
     /// Takes in which era of the store is the newest that this VM heard of.
-    fn note_era(&self, now: Timestamp) {
+    fn observe_era(&self, now: Timestamp) {
         let era = self.store.era();
         self.mandate.borrow_mut().note_era(era, now);
         self.metrics.set_era(era, self.store.invalid_eras());
@@ -106,22 +106,22 @@
     /// Goes on with the keeper, if there is one, in the newest era of the store.
     fn enter_era(&self) {
         let mandate = self.mandate.borrow();
-        if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
-            keeper.enter_era(mandate.era(), mandate.rival_until());
+        if let Some(controller) = self.controller.borrow_mut().as_mut() {
+            controller.enter_era(mandate.era(), mandate.rival_until());
         }
     }
 
     /// Whether somebody else wrote the map after this VM's keeper read it.
-    fn keeper_is_outdated(&self) -> bool {
+    fn is_controller_outdated(&self) -> bool {
         let known = self.map_revision.get().unwrap_or_default();
-        let Some(writer) = self.keeper_writer() else { return false };
+        let Some(writer) = self.controller_writer() else { return false };
         let foreign =
             |stored: &Stored<RangeMap>| stored.revision > known && stored.value.writer != writer;
         self.cluster.ranges().as_ref().is_some_and(foreign)
     }
 
     /// Reads the map and makes a keeper of it; tells whether that succeeded.
-    async fn load_keeper(&self) -> bool {
+    async fn load_controller(&self) -> bool {
         let read = self.store.ranges().await;
         self.health.record(&read);
         let Ok(snapshot) = read else {
@@ -132,26 +132,26 @@
         self.map_revision.set(snapshot.value.as_ref().map(|found| found.revision));
         let known = self.cluster.ranges();
         let inherited = InheritedMap::newest(snapshot.value, known, snapshot.as_of.era);
-        let settings = keeper_settings(&self.ownership);
+        let settings = controller_settings(&self.ownership);
         let predecessors = self.mandate.borrow_mut().take_predecessors();
-        let writer = draw_number();
-        let lateness = &mut self.lateness.borrow_mut();
-        let keeper =
-            RangeController::take_over(settings, predecessors, inherited, writer, lateness, now);
-        self.keeper.replace(Some(keeper));
+        let writer = random_id();
+        let late_orders = &mut self.late_orders.borrow_mut();
+        let controller =
+            RangeController::take_over(settings, predecessors, inherited, writer, late_orders, now);
+        self.controller.replace(Some(controller));
         log_event(EventName::CoordinatorLeading, &[("vm", &self.vm)]);
         true
     }
 }
 
 /// The keeper's times on the users' platform.
-pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> ControllerSettings {
+pub(super) fn controller_settings(ownership: &OwnershipSettings) -> ControllerSettings {
     ControllerSettings {
         hold: ownership.lease(),
         renewal: ownership.renewal_interval(),
-        retry: ORDER_RETRY,
-        margin: HOLD_MARGIN,
-        lateness: ORDER_LATENESS,
-        drift: TARGET_DRIFT,
+        retry: ORDER_RETRY_INTERVAL,
+        margin: LEASE_MARGIN,
+        lateness: MAX_ORDER_LATENESS,
+        drift: MAX_TARGET_CLOCK_DRIFT,
     }
 }
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -90,7 +90,7 @@
     let state = Arc::new(ServeState::default());
     let drain = Arc::new(DrainState::default());
     let (stopping, stopped) = watch::channel(false);
-    let incarnation = control::draw_number();
+    let incarnation = control::random_id();
     let metrics = ControlMetrics::default();
     let requests = requests::start(RequestContext {
         names,
@@ -118,11 +118,11 @@
         link_mbps: settings.link_mbps,
         incarnation,
         ownership: settings.ownership,
-        beliefs: senders,
-        keys,
+        senders,
+        load_counter: keys,
         metrics,
         policy: settings.policy,
-        cold: settings.cold,
+        cold_settings: settings.cold,
         follows_evacuations: settings.evacuation_s.is_some(),
     };
     let control = control::start(parts, sockets.peers, stopped, ports)?;
