--- a/crates/nickellead_lease/src/charts.rs
+++ b/crates/nickellead_lease/src/charts.rs
@@ -14,7 +14,7 @@
         /// Holds its standing grants and is being extended.
         Live = "live",
         /// Came back as another process; the former one's lease runs out first.
-        Lapsing = "lapsing",
+        Expiring = "lapsing",
         /// Surely holds no live lease.
         Lost = "lost",
     }
@@ -24,13 +24,13 @@
     /// What happens to a session.
     SessionEvent {
         /// The target answered a first contact.
-        Answered = "answered",
+        ContactAnswered = "answered",
         /// The target took its list of standing grants.
         Synced = "synced",
         /// The target answered as another process.
         Restarted = "restarted",
         /// The lease has surely run out.
-        Lapsed = "lapsed",
+        Expired = "lapsed",
     }
 }
 
@@ -60,7 +60,7 @@
         /// The owner took the grant.
         Granted = "granted",
         /// A planned move began.
-        ReleaseAsked = "release_asked",
+        ReleaseRequested = "release_asked",
         /// The owner gave it up.
         Released = "released",
         /// The owner's lease has surely lapsed, or it does not hold the shard.
@@ -78,7 +78,7 @@
         /// Another VM coordinates, or nobody yet.
         Follower = "follower",
         /// Writes itself into the mandate.
-        Taking = "taking",
+        Acquiring = "taking",
         /// Holds the mandate and writes its term into the placements.
         Loading = "loading",
         /// Coordinates.
@@ -96,19 +96,19 @@
     /// What happens to a VM's part in the mandate.
     MandateEvent {
         /// The rules allow to take the mandate.
-        MayTake = "may_take",
+        AcquisitionAllowed = "may_take",
         /// The mandate names this VM.
-        Taken = "taken",
+        Acquired = "taken",
         /// A higher term was seen.
         Superseded = "superseded",
         /// The term stands in all placements.
         Loaded = "loaded",
         /// The platform was silent for too long.
-        PlatformSilent = "platform_silent",
+        PlatformTimedOut = "platform_silent",
         /// The platform answered again.
-        PlatformBack = "platform_back",
+        PlatformRecovered = "platform_back",
         /// The process was asked to stop.
-        StopAsked = "stop_asked",
+        StopRequested = "stop_asked",
         /// The mandate was written as given up.
         HandedOver = "handed_over",
     }
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -108,10 +108,10 @@
         self.watch.call.take_if(|_| now >= self.watch.call_ends);
         match self.phase {
             MandatePhase::Follower if self.stop_wanted => {
-                self.advance_mandate(MandateEvent::StopAsked);
+                self.advance_mandate(MandateEvent::StopRequested);
             }
             MandatePhase::Follower => self.watch_mandate(now),
-            MandatePhase::Taking => self.settle_write(now),
+            MandatePhase::Acquiring => self.settle_write(now),
             MandatePhase::Loading | MandatePhase::Leading | MandatePhase::Detached => {
                 self.hold_mandate(now);
             }
@@ -234,7 +234,7 @@
             renewal: 0,
             stopped: false,
         };
-        self.advance_mandate(MandateEvent::MayTake);
+        self.advance_mandate(MandateEvent::AcquisitionAllowed);
         self.write_mandate(object, now);
     }
 
@@ -270,14 +270,14 @@
         self.watch.see(version, Some(object), now);
         self.watch.last_done = self.watch.sent_at;
         match self.phase {
-            MandatePhase::Taking => {
+            MandatePhase::Acquiring => {
                 self.highest_term = self.highest_term.max(self.term);
-                self.advance_mandate(MandateEvent::Taken);
+                self.advance_mandate(MandateEvent::Acquired);
                 self.notify(ZoneNotice::MandateAcquired(self.term));
                 self.begin_loading();
             }
             MandatePhase::Detached => {
-                self.advance_mandate(MandateEvent::PlatformBack);
+                self.advance_mandate(MandateEvent::PlatformRecovered);
                 self.notify(ZoneNotice::Attached(self.term));
             }
             MandatePhase::Stopping if stopped => {
@@ -290,11 +290,11 @@
 
     fn hold_mandate(&mut self, now: Timestamp) {
         let silent = now.since(self.watch.last_done) >= self.settings.times.detach_after;
-        if silent && self.advance_mandate(MandateEvent::PlatformSilent) {
+        if silent && self.advance_mandate(MandateEvent::PlatformTimedOut) {
             self.notify(ZoneNotice::Detached(self.term));
         }
         if self.stop_wanted && self.phase != MandatePhase::Detached && self.is_clean() {
-            self.advance_mandate(MandateEvent::StopAsked);
+            self.advance_mandate(MandateEvent::StopRequested);
             return;
         }
         if now < self.watch.next_due {
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -146,7 +146,7 @@
                 .entry(from)
                 .or_insert_with(|| placement.select(|record| record.owner == Some(from)));
             let Some(shard) = shards.pop() else { continue };
-            if !placement.advance(shard, ShardEvent::ReleaseAsked) {
+            if !placement.advance(shard, ShardEvent::ReleaseRequested) {
                 continue;
             }
             let Some(record) = placement.get_mut(shard) else {
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -23,7 +23,7 @@
         };
         let before = session.phase;
         let news = session.answer(reply, self.term, &self.settings.times, now);
-        if before != session.phase && session.phase == SessionPhase::Lapsing {
+        if before != session.phase && session.phase == SessionPhase::Expiring {
             let name = session.name.clone();
             self.notify(ZoneNotice::TargetRestarted(name));
         }
--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -122,7 +122,7 @@
 
     /// Notes that the lease is over: nothing is pending any more.
     pub(crate) fn lapse(&mut self) {
-        self.advance(SessionEvent::Lapsed);
+        self.advance(SessionEvent::Expired);
         self.incarnation = None;
         self.nonce = None;
         self.sent = None;
@@ -149,7 +149,7 @@
         self.sent = None;
         let changed = !self.grants.is_empty() || !self.releases.is_empty();
         match self.phase {
-            SessionPhase::Lapsing => None,
+            SessionPhase::Expiring => None,
             SessionPhase::New | SessionPhase::Lost if now >= self.next_due => {
                 Some(self.make_order(term, None, times, now))
             }
@@ -224,7 +224,7 @@
             };
             self.incarnation = Some(reply.incarnation);
             self.extended_until = self.extended_until.max(times.bound(now));
-            self.advance(SessionEvent::Answered);
+            self.advance(SessionEvent::ContactAnswered);
             news.fenced_with = Some(held);
         }
         self.note_nonce(reply.nonce, now);
--- a/crates/nickellead_lease/src/shard.rs
+++ b/crates/nickellead_lease/src/shard.rs
@@ -41,7 +41,7 @@
     pub(crate) fn route(&self) -> ShardOwner {
         match (self.phase, self.owner) {
             (ShardPhase::Serving, Some(target)) => ShardOwner::Target { target, epoch: self.epoch },
-            (ShardPhase::Free, _) if self.next.is_none() && !self.awaited => ShardOwner::Nobody,
+            (ShardPhase::Free, _) if self.next.is_none() && !self.awaited => ShardOwner::Unowned,
             _ => ShardOwner::Moving,
         }
     }
@@ -202,7 +202,7 @@
 
     /// What routers are told of one shard.
     pub(crate) fn route(&self, shard: ShardIndex) -> RouteChange {
-        let owner = self.get(shard).map_or(ShardOwner::Nobody, ShardRecord::route);
+        let owner = self.get(shard).map_or(ShardOwner::Unowned, ShardRecord::route);
         RouteChange { service: self.service, shard, owner }
     }
 
--- a/crates/nickellead_lease/src/view.rs
+++ b/crates/nickellead_lease/src/view.rs
@@ -13,7 +13,7 @@
 pub enum ShardOwner {
     /// No target owns it, and none is about to.
     #[default]
-    Nobody,
+    Unowned,
     /// A new owner is on its way: requests may wait a short while.
     Moving,
     /// This target owns it.
--- a/crates/nickellead_lease/tests/found.rs
+++ b/crates/nickellead_lease/tests/found.rs
@@ -85,7 +85,7 @@
     let Some(leader) = world.leader() else { return 0 };
     let delta = world.vms[leader].coordinator.delta(*known);
     *known = Some((delta.term, delta.version));
-    delta.changes.iter().filter(|change| change.owner == ShardOwner::Nobody).count()
+    delta.changes.iter().filter(|change| change.owner == ShardOwner::Unowned).count()
 }
 
 /// Runs for a while in short looks, and gives the shards that routers were told nobody owns.
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -314,7 +314,7 @@
             lone.answer_read(10, 1);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
+    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
     assert!(!is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))));
 }
 
@@ -329,7 +329,7 @@
             lone.answer_read(version, renewal);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
+    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
 }
 
 #[test]
--- a/crates/nickellead_route/src/table.rs
+++ b/crates/nickellead_route/src/table.rs
@@ -144,7 +144,7 @@
     /// Takes over one shard's owner.
     pub fn apply_change(&mut self, change: RouteChange) {
         let owner = match change.owner {
-            ShardOwner::Nobody => Some(OwnerRoute::Unowned),
+            ShardOwner::Unowned => Some(OwnerRoute::Unowned),
             ShardOwner::Moving => Some(OwnerRoute::Moving),
             ShardOwner::Target { target, epoch } => {
                 let index = self.target_indices.get(&target).copied();
--- a/crates/nickellead_route/src/zone_table.rs
+++ b/crates/nickellead_route/src/zone_table.rs
@@ -103,7 +103,7 @@
             let counts = summary.services.entry(*service).or_default();
             for owner in owners.values() {
                 match owner {
-                    ShardOwner::Nobody => counts.unowned += 1,
+                    ShardOwner::Unowned => counts.unowned += 1,
                     ShardOwner::Moving => counts.moving += 1,
                     ShardOwner::Target { target, .. } => {
                         counts.served += 1;
--- a/examples/charts/01_session_life.rs
+++ b/examples/charts/01_session_life.rs
@@ -10,12 +10,12 @@
     let mut phase = chart.initial();
     println!("a session begins as {}", phase.as_str());
     let events = [
-        SessionEvent::Answered,
+        SessionEvent::ContactAnswered,
         SessionEvent::Synced,
         SessionEvent::Restarted,
         SessionEvent::Synced,
-        SessionEvent::Lapsed,
-        SessionEvent::Answered,
+        SessionEvent::Expired,
+        SessionEvent::ContactAnswered,
     ];
     for event in events {
         let changed = chart.advance(&mut phase, event);
