--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -6,7 +6,7 @@
 
 use nickellead_core::{Incarnation, Name, TargetKey, Timestamp, Version};
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, PlacementObject, ReadOutcome, TargetOrder,
+    CoordinatorSettings, GrantGuard, LeaseTimings, PlacementObject, ReadOutcome, TargetOrder,
     VmIncarnation, WriteOutcome, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 
@@ -37,7 +37,7 @@
         let settings = CoordinatorSettings {
             zone: Name::new("zone-a").unwrap(),
             vm,
-            times: LeaseTimes::default(),
+            times: LeaseTimings::default(),
             standbys: 2,
             moves: 64,
             seed: 1,
--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -11,7 +11,7 @@
 use crate::mandate::{MandateObject, VmIncarnation};
 use crate::object::{PlacementObject, ReadOutcome, WriteOutcome};
 use crate::order::{TargetOrder, TargetReply};
-use crate::times::LeaseTimes;
+use crate::timings::LeaseTimings;
 
 /// Number of one call of the platform; an answer to a forgotten call is dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -25,7 +25,7 @@
     /// The VM and this life of its process.
     pub vm: VmIncarnation,
     /// The times that leases live by.
-    pub times: LeaseTimes,
+    pub times: LeaseTimings,
     /// Most standbys that the mandate names.
     pub standbys: usize,
     /// Most shards of one service in planned moves at a time.
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -245,7 +245,7 @@
         self.watch.base = self.watch.version;
         self.watch.retry = false;
         self.watch.sent_at = now;
-        self.watch.next_due = now + self.settings.times.renewal;
+        self.watch.next_due = now + self.settings.times.renewal_interval;
         self.actions.push(ZoneAction::WriteMandate(call, self.watch.version, object));
     }
 
@@ -289,7 +289,7 @@
     }
 
     fn hold_mandate(&mut self, now: Timestamp) {
-        let silent = now.since(self.watch.last_done) >= self.settings.times.detach_after;
+        let silent = now.since(self.watch.last_done) >= self.settings.times.detach_timeout;
         if silent && self.advance_mandate(MandateEvent::PlatformTimedOut) {
             self.notify(ZoneNotice::Detached(self.term));
         }
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -195,7 +195,8 @@
     #[must_use]
     pub fn hears_nobody(&self, now: Timestamp) -> bool {
         let renewals = if self.named_standby { 1 } else { 5 };
-        self.forsaken || now.since(self.last_heard) >= self.settings.times.renewal * renewals
+        self.forsaken
+            || now.since(self.last_heard) >= self.settings.times.renewal_interval * renewals
     }
 
     /// Whether routers may be told of this VM's placements.
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -26,8 +26,8 @@
             });
         };
         let times = &self.settings.times;
-        let still = now.since(self.watch.since) >= times.standstill;
-        let silent = now.since(self.last_heard) >= times.standstill;
+        let still = now.since(self.watch.since) >= times.mandate_timeout;
+        let silent = now.since(self.last_heard) >= times.mandate_timeout;
         if !still || !silent {
             return None;
         }
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -196,7 +196,8 @@
             // The predecessor may go on extending it until it is known to be stopped.
             SessionPhase::New => {
                 let stopped_at = self.predecessor.stopped_at;
-                stopped_at.map_or(!enforced!("successor_wait"), |at| now >= times.bound(at))
+                stopped_at
+                    .map_or(!enforced!("successor_wait"), |at| now >= times.lease_upper_bound(at))
             }
             _ => own,
         }
@@ -301,7 +302,7 @@
         let unheard = |session: &TargetSession| session.phase == SessionPhase::New;
         let all_fenced = !self.sessions.values().any(unheard);
         let stopped_at = self.predecessor.stopped_at;
-        all_fenced || stopped_at.is_some_and(|at| now >= self.settings.times.bound(at))
+        all_fenced || stopped_at.is_some_and(|at| now >= self.settings.times.lease_upper_bound(at))
     }
 
     /// Whether a target out of reach waits for word that the predecessor is stopped.
@@ -315,7 +316,7 @@
 
     /// Asks the predecessor to step down while a target is out of this VM's reach.
     pub(super) fn ask_predecessor(&mut self, now: Timestamp) {
-        let due = now.since(self.predecessor.asked_at) >= self.settings.times.renewal;
+        let due = now.since(self.predecessor.asked_at) >= self.settings.times.renewal_interval;
         if !due || !self.awaits_evidence() {
             return;
         }
--- a/crates/nickellead_lease/src/lib.rs
+++ b/crates/nickellead_lease/src/lib.rs
@@ -17,7 +17,7 @@
 mod order;
 mod session;
 mod shard;
-mod times;
+mod timings;
 mod view;
 
 pub use charts::{
@@ -32,5 +32,5 @@
 pub use mandate::{MandateObject, VmIncarnation};
 pub use object::{PlacementObject, PlacementOwner, ReadOutcome, WriteOutcome};
 pub use order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
-pub use times::LeaseTimes;
+pub use timings::LeaseTimings;
 pub use view::{RouteChange, ShardOwner, ZoneDelta, ZoneLog};
--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -10,7 +10,7 @@
 
 use crate::charts::{SessionEvent, SessionPhase, charts};
 use crate::order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
-use crate::times::LeaseTimes;
+use crate::timings::LeaseTimings;
 
 /// How soon a target is asked again whether a release is done.
 const RELEASE_POLL: Duration = Duration::from_millis(5);
@@ -131,7 +131,7 @@
     }
 
     /// Whether the list of standing grants is wanted for the next order.
-    pub(crate) fn wants_standing(&self, now: Timestamp, times: &LeaseTimes) -> bool {
+    pub(crate) fn wants_standing(&self, now: Timestamp, times: &LeaseTimings) -> bool {
         self.phase == SessionPhase::Fenced && !self.is_waiting(now, times)
     }
 
@@ -140,7 +140,7 @@
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimes,
+        times: &LeaseTimings,
         now: Timestamp,
     ) -> Option<TargetOrder> {
         if self.is_waiting(now, times) {
@@ -173,7 +173,7 @@
         &mut self,
         reply: &TargetReply,
         term: Term,
-        times: &LeaseTimes,
+        times: &LeaseTimings,
         now: Timestamp,
     ) -> SessionNews {
         let mut news = SessionNews::default();
@@ -199,9 +199,9 @@
     }
 
     /// Notes that an order got no answer.
-    pub(crate) fn fail(&mut self, sequence: Sequence, now: Timestamp, times: &LeaseTimes) {
+    pub(crate) fn fail(&mut self, sequence: Sequence, now: Timestamp, times: &LeaseTimings) {
         if self.sent.take_if(|sent| sent.sequence == sequence).is_some() {
-            self.not_before = now + times.heartbeat / 4;
+            self.not_before = now + times.heartbeat_interval / 4;
             self.next_due = self.not_before;
         }
     }
@@ -210,7 +210,7 @@
         &mut self,
         reply: &TargetReply,
         sent: Option<SentOrder>,
-        times: &LeaseTimes,
+        times: &LeaseTimings,
         now: Timestamp,
         news: &mut SessionNews,
     ) {
@@ -223,7 +223,7 @@
                 return;
             };
             self.incarnation = Some(reply.incarnation);
-            self.extended_until = self.extended_until.max(times.bound(now));
+            self.extended_until = self.extended_until.max(times.lease_upper_bound(now));
             self.advance(SessionEvent::ContactAnswered);
             news.fenced_with = Some(held);
         }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn is_waiting(&self, now: Timestamp, times: &LeaseTimes) -> bool {
+    fn is_waiting(&self, now: Timestamp, times: &LeaseTimings) -> bool {
         let late = |sent: &SentOrder| now >= sent.at + times.order_timeout;
         now < self.not_before || self.sent.as_ref().is_some_and(|sent| !late(sent))
     }
@@ -273,15 +273,15 @@
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimes,
+        times: &LeaseTimings,
         now: Timestamp,
     ) -> TargetOrder {
         self.sequence = self.sequence.next();
-        self.next_due = now + times.heartbeat;
+        self.next_due = now + times.heartbeat_interval;
         let contact = matches!(self.phase, SessionPhase::New | SessionPhase::Lost);
         let echo = if contact { None } else { self.nonce };
         if let Some((_, received)) = echo {
-            self.extended_until = self.extended_until.max(times.bound(received));
+            self.extended_until = self.extended_until.max(times.lease_upper_bound(received));
         }
         let order = TargetOrder {
             target: self.key,
@@ -289,7 +289,7 @@
             incarnation: if contact { None } else { self.incarnation },
             sequence: self.sequence,
             echo: echo.map(|(nonce, _)| nonce),
-            lease_ms: times.lease.as_millis() as u64,
+            lease_ms: times.lease_duration.as_millis() as u64,
             standing,
             grants: to_grants(&self.grants),
             releases: to_grants(&self.releases),
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -13,7 +13,7 @@
     Version,
 };
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, MandateObject, MandatePhase, OrderOutcome,
+    CoordinatorSettings, GrantGuard, LeaseTimings, MandateObject, MandatePhase, OrderOutcome,
     ReadOutcome, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, TargetOrder,
     VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
@@ -240,7 +240,7 @@
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm,
-            times: LeaseTimes::default(),
+            times: LeaseTimings::default(),
             standbys: 2,
             moves: 64,
             seed: 1,
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/world/mod.rs
@@ -17,7 +17,7 @@
 use nickellead_api::{DeclaredConfig, TargetState};
 use nickellead_core::{Incarnation, ShardIndex, TargetKey};
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, MandatePhase, TargetOrder, TargetReply,
+    CoordinatorSettings, GrantGuard, LeaseTimings, MandatePhase, TargetOrder, TargetReply,
     VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
 
@@ -54,7 +54,7 @@
     pub vms: Vec<VmNode>,
     pub targets: Vec<TargetNode>,
     pub platform: FakePlatform,
-    pub times: LeaseTimes,
+    pub times: LeaseTimings,
     config: Arc<DeclaredConfig>,
     messages: Vec<Message>,
     /// Links that carry nothing: VM to target, and VM to VM.
@@ -75,7 +75,7 @@
             vms: Vec::new(),
             targets: Vec::new(),
             platform: FakePlatform::default(),
-            times: LeaseTimes::default(),
+            times: LeaseTimings::default(),
             config: Arc::new(declare(targets, &[])),
             messages: Vec::new(),
             cut_targets: Vec::new(),
--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -5,7 +5,7 @@
 
 use nickellead_api::{FieldError, read_json};
 use nickellead_core::Name;
-use nickellead_lease::LeaseTimes;
+use nickellead_lease::LeaseTimings;
 use nickellead_proxy::ProxyLimits;
 use serde::{Deserialize, Serialize};
 
@@ -72,7 +72,7 @@
     pub address: SocketAddr,
 }
 
-/// Times of leases, in milliseconds; see [`LeaseTimes`].
+/// Times of leases, in milliseconds; see [`LeaseTimings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
@@ -96,17 +96,17 @@
 
 impl Default for LeaseSettings {
     fn default() -> Self {
-        let times = LeaseTimes::default();
+        let times = LeaseTimings::default();
         let millis = |length: Duration| length.as_millis() as u32;
         Self {
-            heartbeat_ms: millis(times.heartbeat),
-            lease_ms: millis(times.lease),
-            margin_ms: millis(times.margin),
+            heartbeat_ms: millis(times.heartbeat_interval),
+            lease_ms: millis(times.lease_duration),
+            margin_ms: millis(times.lease_margin),
             order_timeout_ms: millis(times.order_timeout),
-            renewal_ms: millis(times.renewal),
-            standstill_ms: millis(times.standstill),
-            detach_after_ms: millis(times.detach_after),
-            drift_ppm: times.drift.parts_per_million,
+            renewal_ms: millis(times.renewal_interval),
+            standstill_ms: millis(times.mandate_timeout),
+            detach_after_ms: millis(times.detach_timeout),
+            drift_ppm: times.drift_bound.parts_per_million,
         }
     }
 }
@@ -114,17 +114,17 @@
 impl LeaseSettings {
     /// The times as the state machines take them.
     #[must_use]
-    pub fn to_times(self) -> LeaseTimes {
+    pub fn to_times(self) -> LeaseTimings {
         let length = |millis: u32| Duration::from_millis(u64::from(millis));
-        LeaseTimes {
-            heartbeat: length(self.heartbeat_ms),
-            lease: length(self.lease_ms),
-            margin: length(self.margin_ms),
+        LeaseTimings {
+            heartbeat_interval: length(self.heartbeat_ms),
+            lease_duration: length(self.lease_ms),
+            lease_margin: length(self.margin_ms),
             order_timeout: length(self.order_timeout_ms),
-            renewal: length(self.renewal_ms),
-            standstill: length(self.standstill_ms),
-            detach_after: length(self.detach_after_ms),
-            drift: nickellead_core::DriftBound { parts_per_million: self.drift_ppm },
+            renewal_interval: length(self.renewal_ms),
+            mandate_timeout: length(self.standstill_ms),
+            detach_timeout: length(self.detach_after_ms),
+            drift_bound: nickellead_core::DriftBound { parts_per_million: self.drift_ppm },
         }
     }
 }
@@ -198,7 +198,9 @@
             return Err(FieldError::new("stop_limit_ms", "must be more than stop_linger_ms"));
         }
         let times = self.lease.to_times();
-        times.check().map_err(|(field, reason)| FieldError::new(format!("lease.{field}"), reason))
+        times
+            .validate()
+            .map_err(|(field, reason)| FieldError::new(format!("lease.{field}"), reason))
     }
 
     fn check_addresses(&self) -> Result<(), FieldError> {
