--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -38,8 +38,8 @@
             zone: Name::new("zone-a").unwrap(),
             vm,
             times: LeaseTimings::default(),
-            standbys: 2,
-            moves: 64,
+            max_standbys: 2,
+            max_concurrent_moves: 64,
             seed: 1,
         };
         let config = config(shards, targets);
--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -27,9 +27,9 @@
     /// The times that leases live by.
     pub times: LeaseTimings,
     /// Most standbys that the mandate names.
-    pub standbys: usize,
+    pub max_standbys: usize,
     /// Most shards of one service in planned moves at a time.
-    pub moves: usize,
+    pub max_concurrent_moves: usize,
     /// Seed of the jitter.
     pub seed: u64,
 }
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -165,7 +165,8 @@
 
     /// A follower that hears no coordinator reads the mandate, and takes it when it may.
     fn watch_mandate(&mut self, now: Timestamp) {
-        if !self.hears_nobody(now) || self.watch.call.is_some() || now < self.watch.next_due {
+        if !self.has_lost_coordinator(now) || self.watch.call.is_some() || now < self.watch.next_due
+        {
             return;
         }
         let period = if self.may_take_soon() { READ_PERIOD } else { IDLE_READ_PERIOD };
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -185,7 +185,7 @@
 
     /// The coordinator before this one, as far as it is known.
     #[must_use]
-    pub fn former_holder(&self) -> Option<VmIncarnation> {
+    pub fn predecessor_vm(&self) -> Option<VmIncarnation> {
         self.predecessor.holder.clone()
     }
 
@@ -193,7 +193,7 @@
     ///
     /// Standbys hear it several times in a renewal's length, other VMs once a second.
     #[must_use]
-    pub fn hears_nobody(&self, now: Timestamp) -> bool {
+    pub fn has_lost_coordinator(&self, now: Timestamp) -> bool {
         let renewals = if self.named_standby { 1 } else { 5 };
         self.forsaken
             || now.since(self.last_heard) >= self.settings.times.renewal_interval * renewals
@@ -207,14 +207,14 @@
 
     /// The published version.
     #[must_use]
-    pub const fn published(&self) -> (Term, Version) {
+    pub const fn published_version(&self) -> (Term, Version) {
         (self.log.term, self.log.version)
     }
 
     /// What changed for a subscriber that knows `known`.
     #[must_use]
     pub fn delta(&self, known: Option<(Term, Version)>) -> ZoneDelta {
-        let changes = self.log.since(known);
+        let changes = self.log.changes_since(known);
         let base = changes.as_ref().and(known).map(|(_, version)| version);
         ZoneDelta {
             zone: ZoneKey::from(&self.settings.zone),
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -127,7 +127,7 @@
             return;
         }
         let gap_percent = if rebalances { RebalanceLimits::default().gap_percent } else { 100 };
-        let limits = RebalanceLimits { moves: self.settings.moves, gap_percent };
+        let limits = RebalanceLimits { moves: self.settings.max_concurrent_moves, gap_percent };
         let plans = plan_moves(&leaving, &mut staying, limits);
         self.begin_moves(service, &plans, now);
     }
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -67,7 +67,7 @@
         let last = current.iter().copied().filter(|vm| !fresh(vm));
         let mut chosen: Vec<VmIncarnation> = Vec::new();
         for vm in first.chain(last) {
-            if chosen.len() < self.settings.standbys && !chosen.contains(vm) {
+            if chosen.len() < self.settings.max_standbys && !chosen.contains(vm) {
                 chosen.push(vm.clone());
             }
         }
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -307,7 +307,7 @@
 
     /// Whether a target out of reach waits for word that the predecessor is stopped.
     #[must_use]
-    pub fn awaits_evidence(&self) -> bool {
+    pub fn awaits_predecessor_stop(&self) -> bool {
         let unheard =
             |session: &TargetSession| session.phase == SessionPhase::New && session.owned > 0;
         let unknown = self.predecessor.stopped_at.is_none() && self.predecessor.holder.is_some();
@@ -317,7 +317,7 @@
     /// Asks the predecessor to step down while a target is out of this VM's reach.
     pub(super) fn ask_predecessor(&mut self, now: Timestamp) {
         let due = now.since(self.predecessor.asked_at) >= self.settings.times.renewal_interval;
-        if !due || !self.awaits_evidence() {
+        if !due || !self.awaits_predecessor_stop() {
             return;
         }
         let Some(holder) = self.predecessor.holder.clone() else {
--- a/crates/nickellead_lease/src/guard.rs
+++ b/crates/nickellead_lease/src/guard.rs
@@ -78,7 +78,7 @@
     }
 
     /// Says with the next answer that this target wants to leave.
-    pub fn leave(&mut self) {
+    pub fn announce_leaving(&mut self) {
         self.leaving = true;
     }
 
--- a/crates/nickellead_lease/src/view.rs
+++ b/crates/nickellead_lease/src/view.rs
@@ -78,7 +78,7 @@
 
     /// The changes since `known`, or `None` when only the whole table will do.
     #[must_use]
-    pub fn since(&self, known: Option<(Term, Version)>) -> Option<Vec<RouteChange>> {
+    pub fn changes_since(&self, known: Option<(Term, Version)>) -> Option<Vec<RouteChange>> {
         let (term, version) = known?;
         if term != self.term || version > self.version {
             return None;
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -241,8 +241,8 @@
             zone: name("zone-a"),
             vm,
             times: LeaseTimings::default(),
-            standbys: 2,
-            moves: 64,
+            max_standbys: 2,
+            max_concurrent_moves: 64,
             seed: 1,
         };
         let now = Timestamp(1_000);
--- a/crates/nickellead_lease/tests/world/carry.rs
+++ b/crates/nickellead_lease/tests/world/carry.rs
@@ -158,7 +158,7 @@
             }
             ZoneAction::ConfirmStepDown(term) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
-                    let holder = self.vms[other].coordinator.former_holder();
+                    let holder = self.vms[other].coordinator.predecessor_vm();
                     if holder.as_ref() == Some(from) {
                         let event = ZoneEvent::StepDownConfirmed(term);
                         self.send(Payload::Peer(vm, other, event));
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/world/mod.rs
@@ -108,8 +108,8 @@
             zone: name("zone-a"),
             vm: vm.clone(),
             times: self.times,
-            standbys: 2,
-            moves: 64,
+            max_standbys: 2,
+            max_concurrent_moves: 64,
             seed: self.lives,
         };
         VmNode {
--- a/crates/nickellead_route/src/zone_table.rs
+++ b/crates/nickellead_route/src/zone_table.rs
@@ -84,7 +84,7 @@
         if known.is_some_and(|known| known >= current) {
             return None;
         }
-        let changes = self.log.since(known);
+        let changes = self.log.changes_since(known);
         let base = changes.as_ref().and(known).map(|(_, version)| version);
         Some(ZoneDelta {
             zone: self.zone,
--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -150,7 +150,7 @@
     /// Tells the other duties what changed: owners, and whether this VM coordinates.
     fn publish(&mut self) {
         let leads = self.coordinator.publishes();
-        let silent = self.coordinator.hears_nobody(BootClock.now());
+        let silent = self.coordinator.has_lost_coordinator(BootClock.now());
         if self.led.replace(leads) != Some(leads) {
             offer(&self.rings.peers, PeerMessage::Lead(self.coordinator.term(), leads));
         }
@@ -160,7 +160,7 @@
             self.standbys = standbys.to_vec();
             offer(&self.rings.peers, PeerMessage::Standbys(self.standbys.clone()));
         }
-        let mode = if self.coordinator.awaits_evidence() {
+        let mode = if self.coordinator.awaits_predecessor_stop() {
             FollowMode::Urgent
         } else if self.coordinator.coordinates() || silent {
             FollowMode::Calm
@@ -170,7 +170,7 @@
         if self.mode.replace(mode) != Some(mode) {
             offer(&self.rings.platform, PlatformMessage::Follow(mode));
         }
-        if leads && self.published != Some(self.coordinator.published()) {
+        if leads && self.published != Some(self.coordinator.published_version()) {
             let delta: ZoneDelta = self.coordinator.delta(self.published);
             self.published = Some((delta.term, delta.version));
             offer(&self.rings.peers, PeerMessage::Publish(Box::new(delta)));
@@ -183,7 +183,7 @@
         CoordinationStatus {
             phase: self.coordinator.phase(),
             term: self.coordinator.term(),
-            published: self.coordinator.published(),
+            published: self.coordinator.published_version(),
             targets: self.coordinator.target_statuses(),
             standbys: standbys.map(|standby| standby.vm.clone()).collect(),
         }
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -254,8 +254,8 @@
         zone: settings.zone.clone(),
         vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
         times: settings.lease.to_times(),
-        standbys: STANDBYS,
-        moves: MOVES,
+        max_standbys: STANDBYS,
+        max_concurrent_moves: MOVES,
         seed: incarnation.0,
     }
 }
--- a/crates/nickellead_standin/src/target.rs
+++ b/crates/nickellead_standin/src/target.rs
@@ -148,7 +148,7 @@
 
     /// Says that it wants to leave.
     pub fn leave(&self) {
-        lock(&self.guard).leave();
+        lock(&self.guard).announce_leaving();
     }
 
     /// Ends at once, as a machine that is taken away: every connection breaks.
@@ -187,7 +187,7 @@
             return json(StatusCode::OK, &self.shared.effects());
         }
         if request.path() == "/nickellead/leave" {
-            lock(&self.guard).leave();
+            lock(&self.guard).announce_leaving();
             return empty(StatusCode::OK);
         }
         let id = header_number(request.headers(), REQUEST_ID_HEADER).unwrap_or(0);
