--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -260,7 +260,7 @@
             ZoneEvent::TargetReplied(reply) => self.note_reply(&reply, now),
             ZoneEvent::TargetFailed(target, sequence) => {
                 if let Some(session) = self.sessions.get_mut(&target) {
-                    session.fail(sequence, now, &self.settings.times);
+                    session.record_failure(sequence, now, &self.settings.times);
                 }
             }
             ZoneEvent::PeerSeen(vm) => self.note_peer(vm, now),
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -51,7 +51,7 @@
         }
         placement.attention = gathers || returns;
         let planned = placement.planned_for();
-        let mut loads = self.loads(service, TargetSession::takes_shards);
+        let mut loads = self.loads(service, TargetSession::accepts_shards);
         for load in &mut loads {
             load.shards += planned.get(&load.target).copied().unwrap_or(0);
         }
@@ -60,7 +60,7 @@
             return;
         };
         let takes =
-            |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::takes_shards);
+            |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::accepts_shards);
         let wanting = placement.select(|record| {
             let first = record.epoch == Epoch::ZERO;
             record.phase == ShardPhase::Free
@@ -112,7 +112,7 @@
     fn plan_service_moves(&mut self, service: ServiceKey, now: Timestamp) {
         // A detached coordinator moves shards only where targets leave.
         let rebalances = self.phase == MandatePhase::Leading;
-        let leaving = self.loads(service, TargetSession::gives_shards);
+        let leaving = self.loads(service, TargetSession::is_draining);
         if leaving.iter().all(|load| load.shards == 0) && !rebalances {
             return;
         }
@@ -122,7 +122,7 @@
         if placement.load != LoadState::Claimed || !placement.is_settled() {
             return;
         }
-        let mut staying = self.loads(service, TargetSession::takes_shards);
+        let mut staying = self.loads(service, TargetSession::accepts_shards);
         if staying.is_empty() {
             return;
         }
@@ -157,8 +157,8 @@
             let route = placement.route(shard);
             self.log.push(route);
             if let Some(session) = self.sessions.get_mut(&from) {
-                session.ask_release(grant);
-                session.hurry(now);
+                session.queue_release(grant);
+                session.schedule_order_by(now);
             }
             started += 1;
         }
@@ -255,10 +255,10 @@
         record.owner = record.next.take();
         let grant = ShardGrant { shard, epoch: record.epoch };
         let owner = record.owner.and_then(|owner| self.sessions.get_mut(&owner));
-        match owner.filter(|session| session.takes_grants()) {
+        match owner.filter(|session| session.accepts_grants()) {
             Some(session) => {
                 session.owned += 1;
-                session.offer(grant);
+                session.queue_grant(grant);
             }
             // Lost meanwhile, and never told: free at once.
             None => {
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -9,7 +9,7 @@
 use super::{ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandatePhase, SessionPhase, ShardEvent, ShardPhase};
 use crate::order::{ShardGrant, TargetReply};
-use crate::session::{SessionNews, TargetSession};
+use crate::session::{SessionChanges, TargetSession};
 use crate::shard::{LoadState, ServicePlacement};
 use nickellead_core::enforced;
 
@@ -22,30 +22,30 @@
             return;
         };
         let before = session.phase;
-        let news = session.answer(reply, self.term, &self.settings.times, now);
+        let changes = session.apply_reply(reply, self.term, &self.settings.times, now);
         if before != session.phase && session.phase == SessionPhase::Expiring {
             let name = session.name.clone();
             self.notify(ZoneNotice::TargetRestarted(name));
         }
-        match news.superseded_by {
+        match changes.superseded_by {
             Some(term) => self.see_term(term),
-            None => self.apply_news(reply.target, news),
+            None => self.apply_news(reply.target, changes),
         }
     }
 
-    fn apply_news(&mut self, target: TargetKey, news: SessionNews) {
-        if let Some(held) = news.fenced_with {
+    fn apply_news(&mut self, target: TargetKey, changes: SessionChanges) {
+        if let Some(held) = changes.fenced_with {
             self.notice_of(target, ZoneNotice::TargetFenced);
             self.compare_held(target, &held);
         }
-        if news.synced {
+        if changes.synced {
             self.notice_of(target, ZoneNotice::TargetLive);
             self.call_attention(target);
         }
-        for grant in news.granted {
+        for grant in changes.granted {
             self.change_shard(target, grant, ShardEvent::Granted);
         }
-        for grant in news.refused.into_iter().chain(news.released) {
+        for grant in changes.refused.into_iter().chain(changes.released) {
             self.free_shard(target, grant);
         }
     }
@@ -78,7 +78,7 @@
             let owner_live = record
                 .owner
                 .and_then(|owner| self.sessions.get(&owner))
-                .is_some_and(TargetSession::takes_grants);
+                .is_some_and(TargetSession::accepts_grants);
             let higher = record.epoch < grant.epoch;
             let adopts = higher && !owner_live && !self.predecessor.records_known;
             // Its lease lapsed and nobody was given the shard since: it may serve on as before.
@@ -191,7 +191,7 @@
             return true;
         }
         let times = &self.settings.times;
-        let own = now >= session.extended_until || !enforced!("lapse_wait");
+        let own = now >= session.lease_upper_bound || !enforced!("lapse_wait");
         match session.phase {
             // The predecessor may go on extending it until it is known to be stopped.
             SessionPhase::New => {
@@ -207,7 +207,7 @@
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
         };
-        session.lapse();
+        session.expire();
         session.owned = 0;
         let (name, service) = (session.name.clone(), session.service);
         let Some(shards) = self.free_shards_of(target, service, now) else {
@@ -278,7 +278,7 @@
         if session.declared == TargetState::Gone || !ready {
             return;
         }
-        let standing = if may_sync && session.wants_standing(now, &times) {
+        let standing = if may_sync && session.needs_standing_grants(now, &times) {
             Some(placement.map_or_else(Vec::new, |placement| placement.standing_of(target)))
         } else {
             None
--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -13,19 +13,19 @@
 use crate::timings::LeaseTimings;
 
 /// How soon a target is asked again whether a release is done.
-const RELEASE_POLL: Duration = Duration::from_millis(5);
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Debug)]
 struct SentOrder {
     sequence: Sequence,
-    at: Timestamp,
+    sent_at: Timestamp,
     grants: Vec<ShardGrant>,
     standing: bool,
 }
 
 /// What an answer changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct SessionNews {
+pub(crate) struct SessionChanges {
     /// The target has seen this higher term.
     pub(crate) superseded_by: Option<Term>,
     /// The target answered its first contact and holds these grants.
@@ -53,14 +53,14 @@
     /// Shards that count as this target's, in whatever phase.
     pub(crate) owned: u32,
     /// No lease that this coordinator extended lasts longer, on this clock.
-    pub(crate) extended_until: Timestamp,
+    pub(crate) lease_upper_bound: Timestamp,
     incarnation: Option<Incarnation>,
     nonce: Option<(Nonce, Timestamp)>,
     sequence: Sequence,
     sent: Option<SentOrder>,
     next_due: Timestamp,
     /// No order goes out before this, whatever is pending: the last one failed.
-    not_before: Timestamp,
+    retry_at: Timestamp,
     grants: BTreeMap<ShardIndex, Epoch>,
     releases: BTreeMap<ShardIndex, Epoch>,
 }
@@ -77,30 +77,30 @@
             phase: charts().session.initial(),
             leaving: false,
             owned: 0,
-            extended_until: Timestamp::ZERO,
+            lease_upper_bound: Timestamp::ZERO,
             incarnation: None,
             nonce: None,
             sequence: Sequence::ZERO,
             sent: None,
             next_due: Timestamp::ZERO,
-            not_before: Timestamp::ZERO,
+            retry_at: Timestamp::ZERO,
             grants: BTreeMap::new(),
             releases: BTreeMap::new(),
         }
     }
 
     /// Whether the target may get new shards.
-    pub(crate) fn takes_shards(&self) -> bool {
+    pub(crate) fn accepts_shards(&self) -> bool {
         self.phase == SessionPhase::Live && self.declared == TargetState::Active && !self.leaving
     }
 
     /// Whether a grant that is kept may be offered: the session is live.
-    pub(crate) fn takes_grants(&self) -> bool {
+    pub(crate) fn accepts_grants(&self) -> bool {
         self.phase == SessionPhase::Live
     }
 
     /// Whether the target is to lose its shards by planned moves.
-    pub(crate) fn gives_shards(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.phase == SessionPhase::Live && (self.declared != TargetState::Active || self.leaving)
     }
 
@@ -109,19 +109,19 @@
     }
 
     /// Offers a grant with the next order.
-    pub(crate) fn offer(&mut self, grant: ShardGrant) {
+    pub(crate) fn queue_grant(&mut self, grant: ShardGrant) {
         self.releases.remove(&grant.shard);
         self.grants.insert(grant.shard, grant.epoch);
     }
 
     /// Asks for a release with the next order.
-    pub(crate) fn ask_release(&mut self, grant: ShardGrant) {
+    pub(crate) fn queue_release(&mut self, grant: ShardGrant) {
         self.grants.remove(&grant.shard);
         self.releases.insert(grant.shard, grant.epoch);
     }
 
     /// Notes that the lease is over: nothing is pending any more.
-    pub(crate) fn lapse(&mut self) {
+    pub(crate) fn expire(&mut self) {
         self.advance(SessionEvent::Expired);
         self.incarnation = None;
         self.nonce = None;
@@ -131,8 +131,8 @@
     }
 
     /// Whether the list of standing grants is wanted for the next order.
-    pub(crate) fn wants_standing(&self, now: Timestamp, times: &LeaseTimings) -> bool {
-        self.phase == SessionPhase::Fenced && !self.is_waiting(now, times)
+    pub(crate) fn needs_standing_grants(&self, now: Timestamp, times: &LeaseTimings) -> bool {
+        self.phase == SessionPhase::Fenced && !self.is_blocked(now, times)
     }
 
     /// The next order, when one is due.
@@ -143,7 +143,7 @@
         times: &LeaseTimings,
         now: Timestamp,
     ) -> Option<TargetOrder> {
-        if self.is_waiting(now, times) {
+        if self.is_blocked(now, times) {
             return None;
         }
         self.sent = None;
@@ -151,68 +151,73 @@
         match self.phase {
             SessionPhase::Expiring => None,
             SessionPhase::New | SessionPhase::Lost if now >= self.next_due => {
-                Some(self.make_order(term, None, times, now))
+                Some(self.build_order(term, None, times, now))
             }
             SessionPhase::Fenced if standing.is_some() => {
-                Some(self.make_order(term, standing, times, now))
+                Some(self.build_order(term, standing, times, now))
             }
             SessionPhase::Live if now >= self.next_due || (changed && self.releases.is_empty()) => {
-                Some(self.make_order(term, None, times, now))
+                Some(self.build_order(term, None, times, now))
             }
             _ => None,
         }
     }
 
     /// Brings the next order forward.
-    pub(crate) fn hurry(&mut self, now: Timestamp) {
+    pub(crate) fn schedule_order_by(&mut self, now: Timestamp) {
         self.next_due = self.next_due.min(now);
     }
 
     /// Takes in an answer.
-    pub(crate) fn answer(
+    pub(crate) fn apply_reply(
         &mut self,
         reply: &TargetReply,
         term: Term,
         times: &LeaseTimings,
         now: Timestamp,
-    ) -> SessionNews {
-        let mut news = SessionNews::default();
+    ) -> SessionChanges {
+        let mut changes = SessionChanges::default();
         if reply.term > term {
-            news.superseded_by = Some(reply.term);
-            return news;
+            changes.superseded_by = Some(reply.term);
+            return changes;
         }
         let sent = self.sent.take_if(|sent| sent.sequence == reply.sequence);
         self.leaving = reply.leaving;
         match reply.outcome {
             OrderOutcome::WrongTarget | OrderOutcome::StaleTerm | OrderOutcome::StaleSequence => {
-                news
+                changes
             }
             OrderOutcome::WrongIncarnation => {
                 self.advance(SessionEvent::Restarted);
-                news
+                changes
             }
             OrderOutcome::Accepted | OrderOutcome::Unsynced => {
-                self.accept(reply, sent, times, now, &mut news);
-                news
+                self.apply_accepted(reply, sent, times, now, &mut changes);
+                changes
             }
         }
     }
 
     /// Notes that an order got no answer.
-    pub(crate) fn fail(&mut self, sequence: Sequence, now: Timestamp, times: &LeaseTimings) {
+    pub(crate) fn record_failure(
+        &mut self,
+        sequence: Sequence,
+        now: Timestamp,
+        times: &LeaseTimings,
+    ) {
         if self.sent.take_if(|sent| sent.sequence == sequence).is_some() {
-            self.not_before = now + times.heartbeat_interval / 4;
-            self.next_due = self.not_before;
+            self.retry_at = now + times.heartbeat_interval / 4;
+            self.next_due = self.retry_at;
         }
     }
 
-    fn accept(
+    fn apply_accepted(
         &mut self,
         reply: &TargetReply,
         sent: Option<SentOrder>,
         times: &LeaseTimings,
         now: Timestamp,
-        news: &mut SessionNews,
+        changes: &mut SessionChanges,
     ) {
         if self.incarnation.is_some_and(|known| known != reply.incarnation) {
             self.advance(SessionEvent::Restarted);
@@ -223,53 +228,53 @@
                 return;
             };
             self.incarnation = Some(reply.incarnation);
-            self.extended_until = self.extended_until.max(times.lease_upper_bound(now));
+            self.lease_upper_bound = self.lease_upper_bound.max(times.lease_upper_bound(now));
             self.advance(SessionEvent::ContactAnswered);
-            news.fenced_with = Some(held);
+            changes.fenced_with = Some(held);
         }
-        self.note_nonce(reply.nonce, now);
+        self.record_nonce(reply.nonce, now);
         for release in &reply.released {
             if self.releases.get(&release.shard) == Some(&release.epoch) {
                 self.releases.remove(&release.shard);
             }
-            news.released.push(*release);
+            changes.released.push(*release);
         }
         if !self.releases.is_empty() {
-            self.next_due = now + RELEASE_POLL;
+            self.next_due = now + RELEASE_POLL_INTERVAL;
         }
         if let Some(sent) = sent.filter(|_| reply.outcome == OrderOutcome::Accepted) {
-            self.acknowledge(&sent, reply, news);
+            self.acknowledge(&sent, reply, changes);
         }
     }
 
-    fn acknowledge(&mut self, sent: &SentOrder, reply: &TargetReply, news: &mut SessionNews) {
+    fn acknowledge(&mut self, sent: &SentOrder, reply: &TargetReply, changes: &mut SessionChanges) {
         if sent.standing && self.advance(SessionEvent::Synced) {
-            news.synced = true;
+            changes.synced = true;
         }
         for grant in &sent.grants {
             if self.grants.get(&grant.shard) == Some(&grant.epoch) {
                 self.grants.remove(&grant.shard);
             }
             if reply.refused.contains(grant) {
-                news.refused.push(*grant);
+                changes.refused.push(*grant);
             } else {
-                news.granted.push(*grant);
+                changes.granted.push(*grant);
             }
         }
     }
 
-    fn note_nonce(&mut self, nonce: Nonce, now: Timestamp) {
+    fn record_nonce(&mut self, nonce: Nonce, now: Timestamp) {
         if self.nonce.is_none_or(|(known, _)| known < nonce) {
             self.nonce = Some((nonce, now));
         }
     }
 
-    fn is_waiting(&self, now: Timestamp, times: &LeaseTimings) -> bool {
-        let late = |sent: &SentOrder| now >= sent.at + times.order_timeout;
-        now < self.not_before || self.sent.as_ref().is_some_and(|sent| !late(sent))
+    fn is_blocked(&self, now: Timestamp, times: &LeaseTimings) -> bool {
+        let late = |sent: &SentOrder| now >= sent.sent_at + times.order_timeout;
+        now < self.retry_at || self.sent.as_ref().is_some_and(|sent| !late(sent))
     }
 
-    fn make_order(
+    fn build_order(
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
@@ -281,7 +286,7 @@
         let contact = matches!(self.phase, SessionPhase::New | SessionPhase::Lost);
         let echo = if contact { None } else { self.nonce };
         if let Some((_, received)) = echo {
-            self.extended_until = self.extended_until.max(times.lease_upper_bound(received));
+            self.lease_upper_bound = self.lease_upper_bound.max(times.lease_upper_bound(received));
         }
         let order = TargetOrder {
             target: self.key,
@@ -296,7 +301,7 @@
         };
         self.sent = Some(SentOrder {
             sequence: self.sequence,
-            at: now,
+            sent_at: now,
             grants: order.grants.clone(),
             standing: order.standing.is_some(),
         });
