--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -9,7 +9,7 @@
 use crate::charts::{MandateEvent, MandatePhase, ShardEvent, ShardPhase};
 use crate::object::{PlacementObject, ReadOutcome};
 use crate::session::TargetSession;
-use crate::shard::{LoadState, PendingWrite, ServicePlacement};
+use crate::shard::{PendingWrite, PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
 /// Pause of the calls for one placement after one of them failed.
@@ -61,7 +61,7 @@
     /// Reads every placement that is not loaded yet, and notes when all are.
     pub(super) fn load_placements(&mut self, now: Timestamp) {
         let unread = |placement: &&ServicePlacement| {
-            placement.load == LoadState::Unread && now >= placement.not_before
+            placement.state == PlacementState::Unread && now >= placement.retry_at
         };
         let wanted: Vec<(ServiceKey, Name)> = self
             .placements
@@ -74,7 +74,7 @@
                 self.read_placement(service, name, now);
             }
         }
-        let claimed = |placement: &ServicePlacement| placement.load == LoadState::Claimed;
+        let claimed = |placement: &ServicePlacement| placement.state == PlacementState::Claimed;
         if self.phase == MandatePhase::Loading && self.placements.values().all(claimed) {
             self.advance_mandate(MandateEvent::Loaded);
             self.notify(ZoneNotice::Leading(self.term));
@@ -118,8 +118,8 @@
     /// Leaves the platform alone for a while after a call that failed.
     pub(super) fn pause_calls(&mut self, service: ServiceKey, now: Timestamp) {
         if let Some(placement) = self.placements.get_mut(&service) {
-            placement.not_before = now + CALL_PAUSE;
-            placement.reread |= placement.pending.is_some();
+            placement.retry_at = now + CALL_PAUSE;
+            placement.needs_read |= placement.pending.is_some();
         }
     }
 
@@ -131,7 +131,7 @@
         if version < placement.version && enforced!("version_monotonic") {
             return;
         }
-        if placement.load == LoadState::Claimed {
+        if placement.state == PlacementState::Claimed {
             self.settle_placement(service, object, version);
             return;
         }
@@ -142,11 +142,14 @@
         for ((_, shard), (target, epoch)) in entries {
             let newer = placement.get(shard).is_some_and(|record| record.epoch < epoch);
             if newer && enforced!("record_merge") {
-                placement.load_owner(shard, Some(target), epoch);
+                placement.set_loaded_owner(shard, Some(target), epoch);
             }
         }
-        placement.load =
-            if enforced!("claim_first") { LoadState::Claiming } else { LoadState::Claimed };
+        placement.state = if enforced!("claim_first") {
+            PlacementState::Claiming
+        } else {
+            PlacementState::Claimed
+        };
         placement.dirty = enforced!("claim_first");
         self.recount_owned();
     }
@@ -183,10 +186,10 @@
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        if placement.load == LoadState::Unread || now < placement.not_before {
+        if placement.state == PlacementState::Unread || now < placement.retry_at {
             return;
         }
-        if std::mem::take(&mut placement.reread) {
+        if std::mem::take(&mut placement.needs_read) {
             let name = placement.name.clone();
             self.read_placement(service, name, now);
             return;
@@ -216,7 +219,7 @@
             return;
         };
         let undecided = placement.pending.as_ref().is_some_and(|write| !write.planned.is_empty());
-        if undecided || placement.load == LoadState::Unread {
+        if undecided || placement.state == PlacementState::Unread {
             return;
         }
         let planned = choose_planned(placement);
@@ -238,10 +241,10 @@
 
 /// The free shards that may be written: none before this term stands in the object.
 fn choose_planned(placement: &ServicePlacement) -> Vec<ShardIndex> {
-    if placement.load != LoadState::Claimed || placement.count(ShardPhase::Free) == 0 {
+    if placement.state != PlacementState::Claimed || placement.count(ShardPhase::Free) == 0 {
         return Vec::new();
     }
-    placement.select(|record| record.phase == ShardPhase::Free && record.next.is_some())
+    placement.shards_where(|record| record.phase == ShardPhase::Free && record.next.is_some())
 }
 
 fn record_range(service: ServiceKey) -> std::ops::RangeInclusive<(ServiceKey, ShardIndex)> {
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -8,7 +8,7 @@
 use crate::charts::{MandateEvent, MandatePhase, charts};
 use crate::mandate::{MandateObject, VmIncarnation};
 use crate::object::{ReadOutcome, WriteOutcome};
-use crate::shard::{LoadState, ServicePlacement};
+use crate::shard::{PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
 /// How long a call may take before it counts as failed; the client's own limit is shorter.
@@ -336,7 +336,9 @@
     /// Whether the platform's placements say all that this coordinator decided.
     fn is_clean(&self) -> bool {
         let clean = |placement: &ServicePlacement| {
-            placement.load == LoadState::Claimed && !placement.dirty && placement.pending.is_none()
+            placement.state == PlacementState::Claimed
+                && !placement.dirty
+                && placement.pending.is_none()
         };
         self.publishes() && self.placements.values().all(clean)
     }
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -11,14 +11,14 @@
 use crate::object::WriteOutcome;
 use crate::order::ShardGrant;
 use crate::session::TargetSession;
-use crate::shard::{LoadState, PendingWrite};
+use crate::shard::{PendingWrite, PlacementState};
 
 /// Between two looks at the balance of load.
 const REBALANCE_PERIOD: Duration = Duration::from_millis(100);
 
 /// How long shards wait for targets that were not heard yet: first ones, and those of targets that
 /// were all lost at once. A live target answers within one heartbeat, 0.4 s.
-pub(super) const GATHER_WAIT: Duration = Duration::from_millis(500);
+pub(super) const TARGET_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ZoneCoordinator {
     pub(super) fn plan(&mut self, now: Timestamp) {
@@ -45,12 +45,12 @@
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        let idle = placement.count(ShardPhase::Free) == 0 || !placement.attention;
-        if placement.load != LoadState::Claimed || idle {
+        let idle = placement.count(ShardPhase::Free) == 0 || !placement.needs_assignment;
+        if placement.state != PlacementState::Claimed || idle {
             return;
         }
-        placement.attention = gathers || returns;
-        let planned = placement.planned_for();
+        placement.needs_assignment = gathers || returns;
+        let planned = placement.planned_counts();
         let mut loads = self.loads(service, TargetSession::accepts_shards);
         for load in &mut loads {
             load.shards += planned.get(&load.target).copied().unwrap_or(0);
@@ -61,7 +61,7 @@
         };
         let takes =
             |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::accepts_shards);
-        let wanting = placement.select(|record| {
+        let wanting = placement.shards_where(|record| {
             let first = record.epoch == Epoch::ZERO;
             record.phase == ShardPhase::Free
                 && !(first && gathers || returns)
@@ -78,7 +78,7 @@
             };
             let before = record.route();
             record.next = owner;
-            record.awaited = false;
+            record.expects_return = false;
             if record.route() != before {
                 let route = placement.route(shard);
                 self.log.push(route);
@@ -90,7 +90,8 @@
     ///
     /// Else the first target to answer would get them all, and give most away again.
     fn gathers_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
-        let early = self.placements.get(&service).is_some_and(|known| now < known.gather_until);
+        let early =
+            self.placements.get(&service).is_some_and(|known| now < known.discovery_deadline);
         let expected = |session: &TargetSession| {
             let unheard = matches!(session.phase, SessionPhase::New | SessionPhase::Fenced);
             session.service == service && session.declared == TargetState::Active && unheard
@@ -100,7 +101,7 @@
 
     /// Whether shards wait for targets that were all lost at once.
     fn awaits_lost_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
-        let early = self.placements.get(&service).is_some_and(|known| now < known.return_until);
+        let early = self.placements.get(&service).is_some_and(|known| now < known.return_deadline);
         let away = |session: &TargetSession| {
             let unheard = matches!(session.phase, SessionPhase::Lost | SessionPhase::Fenced);
             session.service == service && session.declared == TargetState::Active && unheard
@@ -119,7 +120,7 @@
         let Some(placement) = self.placements.get(&service) else {
             return;
         };
-        if placement.load != LoadState::Claimed || !placement.is_settled() {
+        if placement.state != PlacementState::Claimed || !placement.is_settled() {
             return;
         }
         let mut staying = self.loads(service, TargetSession::accepts_shards);
@@ -144,7 +145,7 @@
             let from = plan.from;
             let shards = by_owner
                 .entry(from)
-                .or_insert_with(|| placement.select(|record| record.owner == Some(from)));
+                .or_insert_with(|| placement.shards_where(|record| record.owner == Some(from)));
             let Some(shard) = shards.pop() else { continue };
             if !placement.advance(shard, ShardEvent::ReleaseRequested) {
                 continue;
@@ -194,12 +195,12 @@
         match answer {
             WriteOutcome::Done(version) => {
                 placement.version = version;
-                let claims = placement.load == LoadState::Claiming;
+                let claims = placement.state == PlacementState::Claiming;
                 if claims {
-                    placement.gather_until = now + GATHER_WAIT;
+                    placement.discovery_deadline = now + TARGET_DISCOVERY_TIMEOUT;
                 }
-                placement.load = LoadState::Claimed;
-                placement.attention = true;
+                placement.state = PlacementState::Claimed;
+                placement.needs_assignment = true;
                 let current = |write: &PendingWrite| write.object.write_id == known.write_id;
                 if placement.pending.as_ref().is_some_and(current) {
                     self.commit_write(service, false);
@@ -208,12 +209,12 @@
                     self.free_lost_shards(service, now);
                 }
             }
-            WriteOutcome::Conflict if placement.load == LoadState::Claiming => {
+            WriteOutcome::Conflict if placement.state == PlacementState::Claiming => {
                 // The predecessor wrote once more before this term stood: start from that.
-                placement.load = LoadState::Unread;
+                placement.state = PlacementState::Unread;
                 placement.pending = None;
             }
-            WriteOutcome::Conflict => placement.reread = true,
+            WriteOutcome::Conflict => placement.needs_read = true,
             WriteOutcome::Failed => self.pause_calls(service, now),
         }
     }
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -5,12 +5,12 @@
 use nickellead_api::{DeclaredConfig, TargetState};
 use nickellead_core::{ServiceKey, TargetKey, Timestamp};
 
-use super::moves::GATHER_WAIT;
+use super::moves::TARGET_DISCOVERY_TIMEOUT;
 use super::{ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandatePhase, SessionPhase, ShardEvent, ShardPhase};
 use crate::order::{ShardGrant, TargetReply};
 use crate::session::{SessionChanges, TargetSession};
-use crate::shard::{LoadState, ServicePlacement};
+use crate::shard::{PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
 impl ZoneCoordinator {
@@ -84,13 +84,13 @@
             // Its lease lapsed and nobody was given the shard since: it may serve on as before.
             let returns = record.phase == ShardPhase::Free && record.epoch == grant.epoch;
             if adopts || returns {
-                placement.load_owner(grant.shard, Some(target), grant.epoch);
+                placement.set_loaded_owner(grant.shard, Some(target), grant.epoch);
                 placement.dirty |= adopts;
                 changed.push(grant.shard);
             }
         }
         let holds: BTreeMap<_, _> = held.iter().map(|grant| (grant.shard, grant.epoch)).collect();
-        let owned = placement.select(|record| record.owner == Some(target));
+        let owned = placement.shards_where(|record| record.owner == Some(target));
         for shard in owned {
             let Some(record) = placement.get_mut(shard) else {
                 continue;
@@ -109,7 +109,7 @@
     fn call_attention(&mut self, target: TargetKey) {
         let service = self.sessions.get(&target).map(|session| session.service);
         if let Some(placement) = service.and_then(|service| self.placements.get_mut(&service)) {
-            placement.attention = true;
+            placement.needs_assignment = true;
         }
     }
 
@@ -178,7 +178,7 @@
                 session.service == *service && session.phase != SessionPhase::Lost
             });
             if !lapsed.is_empty() && lives.all(|session| lapsed.contains(&session.key)) {
-                placement.return_until = now + GATHER_WAIT;
+                placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
             }
         }
     }
@@ -224,13 +224,13 @@
         now: Timestamp,
     ) -> Option<u32> {
         let placement = self.placements.get_mut(&service)?;
-        placement.attention = true;
-        let returns = now < placement.return_until;
-        let owned = placement.select(|record| record.owner == Some(target));
+        placement.needs_assignment = true;
+        let returns = now < placement.return_deadline;
+        let owned = placement.shards_where(|record| record.owner == Some(target));
         for shard in &owned {
             placement.advance(*shard, ShardEvent::OwnerLost);
             if let Some(record) = placement.get_mut(*shard) {
-                record.awaited = returns;
+                record.expects_return = returns;
             }
             let route = placement.route(*shard);
             self.log.push(route);
@@ -253,7 +253,7 @@
         if let Some(placement) = self.placements.get_mut(&service)
             && !targets.is_empty()
         {
-            placement.return_until = now + GATHER_WAIT;
+            placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
         }
         for target in targets {
             self.free_shards_of(target, service, now);
@@ -274,12 +274,12 @@
             return;
         };
         let placement = self.placements.get(&session.service);
-        let ready = placement.is_some_and(|placement| placement.load == LoadState::Claimed);
+        let ready = placement.is_some_and(|placement| placement.state == PlacementState::Claimed);
         if session.declared == TargetState::Gone || !ready {
             return;
         }
         let standing = if may_sync && session.needs_standing_grants(now, &times) {
-            Some(placement.map_or_else(Vec::new, |placement| placement.standing_of(target)))
+            Some(placement.map_or_else(Vec::new, |placement| placement.standing_grants(target)))
         } else {
             None
         };
@@ -346,7 +346,7 @@
 
     /// Counts anew how many shards each target owns.
     pub(super) fn recount_owned(&mut self) {
-        let counts: Vec<_> = self.placements.values().map(ServicePlacement::owned_by).collect();
+        let counts: Vec<_> = self.placements.values().map(ServicePlacement::owned_counts).collect();
         for session in self.sessions.values_mut() {
             let owned = counts.iter().filter_map(|count| count.get(&session.key));
             session.owned = owned.sum();
--- a/crates/nickellead_lease/src/shard.rs
+++ b/crates/nickellead_lease/src/shard.rs
@@ -29,19 +29,27 @@
     /// The owner being written, or the one a planned move is meant for.
     pub(crate) next: Option<TargetKey>,
     /// Whether its lost owner is expected back at once, so that routers hold requests for it.
-    pub(crate) awaited: bool,
+    pub(crate) expects_return: bool,
 }
 
 impl ShardRecord {
     fn free(epoch: Epoch) -> Self {
-        Self { phase: charts().shard.initial(), owner: None, epoch, next: None, awaited: false }
+        Self {
+            phase: charts().shard.initial(),
+            owner: None,
+            epoch,
+            next: None,
+            expects_return: false,
+        }
     }
 
     /// What routers are told of it.
     pub(crate) fn route(&self) -> ShardOwner {
         match (self.phase, self.owner) {
             (ShardPhase::Serving, Some(target)) => ShardOwner::Target { target, epoch: self.epoch },
-            (ShardPhase::Free, _) if self.next.is_none() && !self.awaited => ShardOwner::Unowned,
+            (ShardPhase::Free, _) if self.next.is_none() && !self.expects_return => {
+                ShardOwner::Unowned
+            }
             _ => ShardOwner::Moving,
         }
     }
@@ -59,7 +67,7 @@
 
 /// How far the placement object is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LoadState {
+pub(crate) enum PlacementState {
     /// It must be read.
     Unread,
     /// It was read; this coordinator's term must be written into it.
@@ -73,26 +81,26 @@
 pub(crate) struct ServicePlacement {
     pub(crate) name: Name,
     pub(crate) service: ServiceKey,
-    pub(crate) first: u32,
+    pub(crate) first_shard: u32,
     shards: Vec<ShardRecord>,
     /// How many shards are in each phase.
     counts: [u32; PHASES],
     /// Whether free shards or targets changed since owners were last chosen.
-    pub(crate) attention: bool,
-    pub(crate) load: LoadState,
+    pub(crate) needs_assignment: bool,
+    pub(crate) state: PlacementState,
     pub(crate) version: Version,
     pub(crate) write_id: u64,
     pub(crate) pending: Option<PendingWrite>,
     /// Whether the platform's object lags behind the records.
     pub(crate) dirty: bool,
     /// Until when first owners wait for targets that were not heard yet.
-    pub(crate) gather_until: Timestamp,
+    pub(crate) discovery_deadline: Timestamp,
     /// Until when shards of targets that were all lost at once wait for these to return.
-    pub(crate) return_until: Timestamp,
+    pub(crate) return_deadline: Timestamp,
     /// Whether the object must be read to learn a write's fate.
-    pub(crate) reread: bool,
+    pub(crate) needs_read: bool,
     /// No call of the platform for it before this: the last one failed.
-    pub(crate) not_before: Timestamp,
+    pub(crate) retry_at: Timestamp,
 }
 
 impl ServicePlacement {
@@ -100,19 +108,19 @@
         Self {
             service: ServiceKey::from(&name),
             name,
-            first: range.start,
+            first_shard: range.start,
             counts: initial_counts(range.len() as u32),
             shards: vec![ShardRecord::free(Epoch::ZERO); range.len()],
-            attention: true,
-            load: LoadState::Unread,
+            needs_assignment: true,
+            state: PlacementState::Unread,
             version: Version::ZERO,
             write_id: 0,
             pending: None,
             dirty: false,
-            gather_until: Timestamp::ZERO,
-            return_until: Timestamp::ZERO,
-            reread: false,
-            not_before: Timestamp::ZERO,
+            discovery_deadline: Timestamp::ZERO,
+            return_deadline: Timestamp::ZERO,
+            needs_read: false,
+            retry_at: Timestamp::ZERO,
         }
     }
 
@@ -128,7 +136,7 @@
         let after = record.phase;
         if after == ShardPhase::Free {
             record.owner = None;
-            self.attention = true;
+            self.needs_assignment = true;
         }
         self.counts[before.index()] -= 1;
         self.counts[after.index()] += 1;
@@ -146,7 +154,7 @@
     }
 
     /// How many shards are meant for each target, beside those it owns.
-    pub(crate) fn planned_for(&self) -> BTreeMap<TargetKey, u32> {
+    pub(crate) fn planned_counts(&self) -> BTreeMap<TargetKey, u32> {
         let mut planned = BTreeMap::new();
         for record in &self.shards {
             if let Some(next) = record.next {
@@ -157,7 +165,7 @@
     }
 
     /// How many shards each target owns.
-    pub(crate) fn owned_by(&self) -> BTreeMap<TargetKey, u32> {
+    pub(crate) fn owned_counts(&self) -> BTreeMap<TargetKey, u32> {
         let mut owned = BTreeMap::new();
         for owner in self.shards.iter().filter_map(|record| record.owner) {
             *owned.entry(owner).or_default() += 1;
@@ -166,29 +174,29 @@
     }
 
     pub(crate) fn get_mut(&mut self, shard: ShardIndex) -> Option<&mut ShardRecord> {
-        let place = shard.0.checked_sub(self.first)?;
-        self.shards.get_mut(place as usize)
+        let index = shard.0.checked_sub(self.first_shard)?;
+        self.shards.get_mut(index as usize)
     }
 
     pub(crate) fn get(&self, shard: ShardIndex) -> Option<&ShardRecord> {
-        let place = shard.0.checked_sub(self.first)?;
-        self.shards.get(place as usize)
+        let index = shard.0.checked_sub(self.first_shard)?;
+        self.shards.get(index as usize)
     }
 
     /// Every shard with its record.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ShardIndex, &ShardRecord)> {
-        let first = self.first;
-        let number = move |place: usize| ShardIndex(first + place as u32);
-        self.shards.iter().enumerate().map(move |(place, record)| (number(place), record))
+        let first = self.first_shard;
+        let number = move |index: usize| ShardIndex(first + index as u32);
+        self.shards.iter().enumerate().map(move |(index, record)| (number(index), record))
     }
 
     /// The shards of which `wanted` holds.
-    pub(crate) fn select(&self, wanted: impl Fn(&ShardRecord) -> bool) -> Vec<ShardIndex> {
+    pub(crate) fn shards_where(&self, wanted: impl Fn(&ShardRecord) -> bool) -> Vec<ShardIndex> {
         self.iter().filter(|(_, record)| wanted(record)).map(|(shard, _)| shard).collect()
     }
 
     /// What a target may keep: its shards whose owner it surely is.
-    pub(crate) fn standing_of(&self, target: TargetKey) -> Vec<ShardGrant> {
+    pub(crate) fn standing_grants(&self, target: TargetKey) -> Vec<ShardGrant> {
         let stands = |record: &ShardRecord| {
             record.owner == Some(target)
                 && matches!(record.phase, ShardPhase::Serving | ShardPhase::Releasing)
@@ -197,7 +205,7 @@
             shard,
             epoch: self.get(shard).map_or(Epoch::ZERO, |record| record.epoch),
         };
-        self.select(stands).into_iter().map(grant).collect()
+        self.shards_where(stands).into_iter().map(grant).collect()
     }
 
     /// What routers are told of one shard.
@@ -210,15 +218,20 @@
     pub(crate) fn load_object(&mut self, object: &PlacementObject, version: Version) {
         self.version = version;
         let targets: Vec<TargetKey> = object.targets.iter().map(TargetKey::from).collect();
-        for (place, PlacementOwner(number, epoch)) in object.owners.iter().enumerate() {
-            let shard = ShardIndex(object.first_shard + place as u32);
+        for (index, PlacementOwner(number, epoch)) in object.owners.iter().enumerate() {
+            let shard = ShardIndex(object.first_shard + index as u32);
             let owner = targets.get((*number as usize).wrapping_sub(1)).copied();
-            self.load_owner(shard, owner, *epoch);
+            self.set_loaded_owner(shard, owner, *epoch);
         }
     }
 
     /// Takes over one shard's owner, as the last coordinator left it.
-    pub(crate) fn load_owner(&mut self, shard: ShardIndex, owner: Option<TargetKey>, epoch: Epoch) {
+    pub(crate) fn set_loaded_owner(
+        &mut self,
+        shard: ShardIndex,
+        owner: Option<TargetKey>,
+        epoch: Epoch,
+    ) {
         let Some(record) = self.get_mut(shard) else {
             return;
         };
@@ -227,7 +240,7 @@
         record.owner = owner;
         self.counts[before.index()] -= 1;
         self.counts[ShardPhase::Free.index()] += 1;
-        self.attention = true;
+        self.needs_assignment = true;
         if owner.is_some() {
             self.advance(shard, ShardEvent::Adopted);
         }
@@ -256,6 +269,12 @@
             });
             owners.push(PlacementOwner(number.unwrap_or(0), epoch));
         }
-        PlacementObject { term, write_id: self.write_id, first_shard: self.first, targets, owners }
+        PlacementObject {
+            term,
+            write_id: self.write_id,
+            first_shard: self.first_shard,
+            targets,
+            owners,
+        }
     }
 }
