--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -158,7 +158,7 @@
     TargetLive(Name),
     /// A target answered as another process.
     TargetRestarted(Name),
-    /// A target's lease has surely lapsed: it lost this many shards.
+    /// A target's lease has surely expired: it lost this many shards.
     TargetLost(Name, u32),
     /// A planned move of this many shards began.
     MovesStarted(Name, u32),
--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -4,7 +4,7 @@
 
 use nickellead_core::{Name, ServiceKey, ShardIndex, TargetKey, Timestamp, Version};
 
-use super::mandate_lease::CALL_LIMIT;
+use super::mandate_lease::CALL_TIMEOUT;
 use super::{CallId, PlacementCall, ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandateEvent, MandatePhase, ShardEvent, ShardPhase};
 use crate::object::{PlacementObject, ReadOutcome};
@@ -13,7 +13,7 @@
 use nickellead_core::enforced;
 
 /// Pause of the calls for one placement after one of them failed.
-const CALL_PAUSE: Duration = Duration::from_millis(200);
+const CALL_BACKOFF: Duration = Duration::from_millis(200);
 
 impl ZoneCoordinator {
     /// Starts a term: nothing of an earlier one is kept but the records.
@@ -21,7 +21,7 @@
         self.sessions.clear();
         self.placements.clear();
         self.calls.clear();
-        self.round = None;
+        self.record_round = None;
         self.log.restart(self.term);
         self.reconcile_config();
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn note_placement_read(
+    pub(super) fn handle_placement_read(
         &mut self,
         call: CallId,
         service: ServiceKey,
@@ -93,38 +93,38 @@
         }
         self.calls.remove(&service);
         match answer {
-            ReadOutcome::Failed => self.pause_calls(service, now),
+            ReadOutcome::Failed => self.back_off_calls(service, now),
             ReadOutcome::Absent => {
-                self.take_placement(service, &PlacementObject::default(), Version::ZERO)
+                self.apply_placement(service, &PlacementObject::default(), Version::ZERO)
             }
             ReadOutcome::Found(object, version) if object.term > self.term => {
                 debug_assert!(version > Version::ZERO);
-                self.see_term(object.term);
+                self.observe_term(object.term);
             }
-            ReadOutcome::Found(object, version) => self.take_placement(service, &object, version),
+            ReadOutcome::Found(object, version) => self.apply_placement(service, &object, version),
         }
     }
 
     /// Gives up calls that were never answered, as if they had failed.
-    pub(super) fn end_late_calls(&mut self, now: Timestamp) {
-        let late = self.calls.iter().filter(|(_, call)| now >= call.ends);
+    pub(super) fn time_out_calls(&mut self, now: Timestamp) {
+        let late = self.calls.iter().filter(|(_, call)| now >= call.deadline);
         let late: Vec<ServiceKey> = late.map(|(service, _)| *service).collect();
         for service in late {
             self.calls.remove(&service);
-            self.pause_calls(service, now);
+            self.back_off_calls(service, now);
         }
     }
 
     /// Leaves the platform alone for a while after a call that failed.
-    pub(super) fn pause_calls(&mut self, service: ServiceKey, now: Timestamp) {
+    pub(super) fn back_off_calls(&mut self, service: ServiceKey, now: Timestamp) {
         if let Some(placement) = self.placements.get_mut(&service) {
-            placement.retry_at = now + CALL_PAUSE;
+            placement.retry_at = now + CALL_BACKOFF;
             placement.needs_read |= placement.pending.is_some();
         }
     }
 
     /// Uses an object that was read: as the state to start from, or to learn a write's fate.
-    fn take_placement(&mut self, service: ServiceKey, object: &PlacementObject, version: Version) {
+    fn apply_placement(&mut self, service: ServiceKey, object: &PlacementObject, version: Version) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
@@ -132,7 +132,7 @@
             return;
         }
         if placement.state == PlacementState::Claimed {
-            self.settle_placement(service, object, version);
+            self.resolve_pending_write(service, object, version);
             return;
         }
         placement.load_object(object, version);
@@ -155,7 +155,7 @@
     }
 
     /// Learns from a read what became of the pending write.
-    fn settle_placement(
+    fn resolve_pending_write(
         &mut self,
         service: ServiceKey,
         object: &PlacementObject,
@@ -202,14 +202,14 @@
         let id = self.next_call();
         self.calls.insert(
             service,
-            PlacementCall { id, write_id: object.write_id, ends: now + CALL_LIMIT },
+            PlacementCall { id, write_id: object.write_id, deadline: now + CALL_TIMEOUT },
         );
         self.actions.push(ZoneAction::WritePlacement(id, service, name, version, object));
     }
 
     fn read_placement(&mut self, service: ServiceKey, name: Name, now: Timestamp) {
         let id = self.next_call();
-        self.calls.insert(service, PlacementCall { id, write_id: 0, ends: now + CALL_LIMIT });
+        self.calls.insert(service, PlacementCall { id, write_id: 0, deadline: now + CALL_TIMEOUT });
         self.actions.push(ZoneAction::ReadPlacement(id, service, name));
     }
 
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -12,12 +12,12 @@
 use nickellead_core::enforced;
 
 /// How long a call may take before it counts as failed; the client's own limit is shorter.
-pub(super) const CALL_LIMIT: Duration = Duration::from_secs(3);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Between two reads of the mandate by a VM that may have to take it soon.
-const READ_PERIOD: Duration = Duration::from_millis(200);
+const STANDBY_READ_INTERVAL: Duration = Duration::from_millis(200);
 /// Between two reads by a VM that is no standby: it takes the mandate only once
 /// the platform's list shows others gone, and the platform has many such VMs.
-const IDLE_READ_PERIOD: Duration = Duration::from_millis(2_000);
+const IDLE_READ_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// What this VM knows of the mandate object.
 #[derive(Clone, Debug)]
@@ -25,19 +25,19 @@
     version: Version,
     pub(super) object: Option<MandateObject>,
     /// Since when this VM sees this version.
-    pub(super) since: Timestamp,
+    pub(super) version_since: Timestamp,
     call: Option<CallId>,
     /// When the call under way counts as failed, should no answer ever come.
-    call_ends: Timestamp,
+    call_deadline: Timestamp,
     /// A write whose fate is not known yet.
-    unsure: Option<MandateObject>,
-    /// The version that the unsure write builds on.
-    base: Version,
-    /// Whether a read showed that the unsure write has not taken effect.
-    retry: bool,
+    unconfirmed: Option<MandateObject>,
+    /// The version that the unconfirmed write builds on.
+    base_version: Version,
+    /// Whether a read showed that the unconfirmed write has not taken effect.
+    must_resend: bool,
     next_due: Timestamp,
     /// When the write that last succeeded was sent.
-    last_done: Timestamp,
+    last_renewed_at: Timestamp,
     sent_at: Timestamp,
 }
 
@@ -46,14 +46,14 @@
         Self {
             version: Version::ZERO,
             object: None,
-            since: now,
+            version_since: now,
             call: None,
-            call_ends: now,
-            unsure: None,
-            base: Version::ZERO,
-            retry: false,
+            call_deadline: now,
+            unconfirmed: None,
+            base_version: Version::ZERO,
+            must_resend: false,
             next_due: now,
-            last_done: now,
+            last_renewed_at: now,
             sent_at: now,
         }
     }
@@ -61,22 +61,22 @@
     /// Forgets what is under way, so that late answers change nothing.
     pub(super) fn forget_calls(&mut self) {
         self.call = None;
-        self.unsure = None;
+        self.unconfirmed = None;
     }
 
     /// Brings the next read forward.
-    pub(super) fn hurry(&mut self, now: Timestamp) {
+    pub(super) fn schedule_read_by(&mut self, now: Timestamp) {
         self.next_due = self.next_due.min(now);
     }
 
     fn begin_call(&mut self, call: CallId, now: Timestamp) {
         self.call = Some(call);
-        self.call_ends = now + CALL_LIMIT;
+        self.call_deadline = now + CALL_TIMEOUT;
     }
 
-    fn see(&mut self, version: Version, object: Option<MandateObject>, now: Timestamp) {
+    fn observe(&mut self, version: Version, object: Option<MandateObject>, now: Timestamp) {
         if version != self.version || self.object.is_none() {
-            self.since = now;
+            self.version_since = now;
         }
         self.version = version;
         self.object = object;
@@ -91,7 +91,7 @@
 impl ZoneCoordinator {
     /// Standbys that must keep a record: of the mandate as it stands and as it may stand.
     pub(super) fn standbys(&self) -> Vec<VmIncarnation> {
-        let known = self.watch.object.iter().chain(&self.watch.unsure);
+        let known = self.watch.object.iter().chain(&self.watch.unconfirmed);
         let mut standbys: Vec<_> = known.flat_map(|object| object.standbys.clone()).collect();
         standbys.sort();
         standbys.dedup();
@@ -104,23 +104,23 @@
         self.watch.object.as_ref()
     }
 
-    pub(super) fn keep_mandate(&mut self, now: Timestamp) {
-        self.watch.call.take_if(|_| now >= self.watch.call_ends);
+    pub(super) fn drive_mandate(&mut self, now: Timestamp) {
+        self.watch.call.take_if(|_| now >= self.watch.call_deadline);
         match self.phase {
-            MandatePhase::Follower if self.stop_wanted => {
+            MandatePhase::Follower if self.stop_requested => {
                 self.advance_mandate(MandateEvent::StopRequested);
             }
-            MandatePhase::Follower => self.watch_mandate(now),
-            MandatePhase::Acquiring => self.settle_write(now),
+            MandatePhase::Follower => self.poll_mandate(now),
+            MandatePhase::Acquiring => self.resolve_write(now),
             MandatePhase::Loading | MandatePhase::Leading | MandatePhase::Detached => {
-                self.hold_mandate(now);
+                self.renew_mandate(now);
             }
-            MandatePhase::Stopping => self.give_up_mandate(now),
+            MandatePhase::Stopping => self.release_mandate(now),
             MandatePhase::Stopped => {}
         }
     }
 
-    pub(super) fn note_mandate_read(
+    pub(super) fn handle_mandate_read(
         &mut self,
         call: CallId,
         answer: ReadOutcome<MandateObject>,
@@ -138,16 +138,16 @@
             ReadOutcome::Found(object, version) => {
                 let term = object.term;
                 let mine = object.holder == self.settings.vm;
-                self.watch.see(version, Some(object), now);
+                self.watch.observe(version, Some(object), now);
                 if !mine {
-                    self.see_term(term);
+                    self.observe_term(term);
                 }
                 self.after_mandate_read(now);
             }
         }
     }
 
-    pub(super) fn note_mandate_written(
+    pub(super) fn handle_mandate_written(
         &mut self,
         call: CallId,
         answer: WriteOutcome,
@@ -157,19 +157,20 @@
             return;
         }
         match answer {
-            WriteOutcome::Done(version) => self.mandate_done(version, now),
+            WriteOutcome::Done(version) => self.confirm_mandate_write(version, now),
             // The read that follows tells whose write it was.
             WriteOutcome::Conflict | WriteOutcome::Failed => self.watch.next_due = now,
         }
     }
 
     /// A follower that hears no coordinator reads the mandate, and takes it when it may.
-    fn watch_mandate(&mut self, now: Timestamp) {
+    fn poll_mandate(&mut self, now: Timestamp) {
         if !self.has_lost_coordinator(now) || self.watch.call.is_some() || now < self.watch.next_due
         {
             return;
         }
-        let period = if self.may_take_soon() { READ_PERIOD } else { IDLE_READ_PERIOD };
+        let period =
+            if self.may_acquire_soon() { STANDBY_READ_INTERVAL } else { IDLE_READ_INTERVAL };
         let jitter = Duration::from_millis(self.rng.u64(0..period.as_millis() as u64));
         self.watch.next_due = now + period + jitter / 2;
         self.read_mandate(now);
@@ -183,29 +184,29 @@
 
     fn after_mandate_read(&mut self, now: Timestamp) {
         if self.phase == MandatePhase::Follower {
-            if self.may_take_soon() {
-                self.watch.hurry(now + READ_PERIOD);
+            if self.may_acquire_soon() {
+                self.watch.schedule_read_by(now + STANDBY_READ_INTERVAL);
             }
-            if let Some(predecessor) = self.may_take(now) {
-                self.take_mandate(predecessor, now);
+            if let Some(predecessor) = self.acquisition_basis(now) {
+                self.acquire_mandate(predecessor, now);
             }
             return;
         }
-        if let Some(unsure) = self.watch.unsure.clone() {
-            self.settle_read(&unsure, now);
+        if let Some(unconfirmed) = self.watch.unconfirmed.clone() {
+            self.resolve_unconfirmed_write(&unconfirmed, now);
         }
     }
 
     /// Compares what was read with the write whose fate is not known.
-    fn settle_read(&mut self, unsure: &MandateObject, now: Timestamp) {
+    fn resolve_unconfirmed_write(&mut self, unconfirmed: &MandateObject, now: Timestamp) {
         let found = self.watch.object.as_ref();
-        if found == Some(unsure) {
-            self.mandate_done(self.watch.version, now);
+        if found == Some(unconfirmed) {
+            self.confirm_mandate_write(self.watch.version, now);
             return;
         }
         let mine = found.is_some_and(|object| object.holder == self.settings.vm);
-        if mine || self.watch.version == self.watch.base {
-            self.watch.retry = true;
+        if mine || self.watch.version == self.watch.base_version {
+            self.watch.must_resend = true;
             self.watch.next_due = now;
             return;
         }
@@ -215,7 +216,7 @@
         self.step_down(term);
     }
 
-    fn take_mandate(&mut self, predecessor: Predecessor, now: Timestamp) {
+    fn acquire_mandate(&mut self, predecessor: Predecessor, now: Timestamp) {
         let old = self.watch.object.as_ref();
         let old_term = old.map(|object| object.term).unwrap_or_default();
         let knows_records = old.is_some() && predecessor.records_known;
@@ -242,34 +243,34 @@
     fn write_mandate(&mut self, object: MandateObject, now: Timestamp) {
         let call = self.next_call();
         self.watch.begin_call(call, now);
-        self.watch.unsure = Some(object.clone());
-        self.watch.base = self.watch.version;
-        self.watch.retry = false;
+        self.watch.unconfirmed = Some(object.clone());
+        self.watch.base_version = self.watch.version;
+        self.watch.must_resend = false;
         self.watch.sent_at = now;
         self.watch.next_due = now + self.settings.times.renewal_interval;
         self.actions.push(ZoneAction::WriteMandate(call, self.watch.version, object));
     }
 
     /// Finds out what became of a write: read back, then write the same again.
-    fn settle_write(&mut self, now: Timestamp) {
+    fn resolve_write(&mut self, now: Timestamp) {
         if self.watch.call.is_some() || now < self.watch.next_due {
             return;
         }
-        if let (true, Some(object)) = (self.watch.retry, self.watch.unsure.clone()) {
+        if let (true, Some(object)) = (self.watch.must_resend, self.watch.unconfirmed.clone()) {
             self.write_mandate(object, now);
             return;
         }
-        self.watch.next_due = now + READ_PERIOD;
+        self.watch.next_due = now + STANDBY_READ_INTERVAL;
         self.read_mandate(now);
     }
 
-    fn mandate_done(&mut self, version: Version, now: Timestamp) {
-        let Some(object) = self.watch.unsure.take() else {
+    fn confirm_mandate_write(&mut self, version: Version, now: Timestamp) {
+        let Some(object) = self.watch.unconfirmed.take() else {
             return;
         };
         let stopped = object.stopped;
-        self.watch.see(version, Some(object), now);
-        self.watch.last_done = self.watch.sent_at;
+        self.watch.observe(version, Some(object), now);
+        self.watch.last_renewed_at = self.watch.sent_at;
         match self.phase {
             MandatePhase::Acquiring => {
                 self.highest_term = self.highest_term.max(self.term);
@@ -289,12 +290,12 @@
         }
     }
 
-    fn hold_mandate(&mut self, now: Timestamp) {
-        let silent = now.since(self.watch.last_done) >= self.settings.times.detach_timeout;
+    fn renew_mandate(&mut self, now: Timestamp) {
+        let silent = now.since(self.watch.last_renewed_at) >= self.settings.times.detach_timeout;
         if silent && self.advance_mandate(MandateEvent::PlatformTimedOut) {
             self.notify(ZoneNotice::Detached(self.term));
         }
-        if self.stop_wanted && self.phase != MandatePhase::Detached && self.is_clean() {
+        if self.stop_requested && self.phase != MandatePhase::Detached && self.is_clean() {
             self.advance_mandate(MandateEvent::StopRequested);
             return;
         }
@@ -311,7 +312,7 @@
     }
 
     /// Writes as the last act that this VM coordinates no more; no order follows it.
-    fn give_up_mandate(&mut self, now: Timestamp) {
+    fn release_mandate(&mut self, now: Timestamp) {
         let Some(mut object) = self.next_mandate(now) else {
             return;
         };
@@ -319,13 +320,13 @@
         self.write_mandate(object, now);
     }
 
-    /// The mandate to write next; `None` while an earlier write is under way or unsure.
+    /// The mandate to write next; `None` while an earlier write is under way or unconfirmed.
     fn next_mandate(&mut self, now: Timestamp) -> Option<MandateObject> {
         if self.watch.call.is_some() {
             return None;
         }
-        if self.watch.unsure.is_some() {
-            self.settle_write(now);
+        if self.watch.unconfirmed.is_some() {
+            self.resolve_write(now);
             return None;
         }
         let mut object = self.watch.object.clone()?;
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -34,7 +34,7 @@
 use records::RecordRound;
 
 /// Ended lives of VMs that are remembered.
-const ENDED_LIVES_MAX: usize = 256;
+const MAX_ENDED_INCARNATIONS: usize = 256;
 
 /// What is known of the coordinator before this one.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
     /// Who it was, to be asked to step down.
     holder: Option<VmIncarnation>,
     /// When it was last asked.
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
 /// A call of the platform under way for one placement.
@@ -56,7 +56,7 @@
     /// The write it carries; 0 for a read.
     write_id: u64,
     /// When it counts as failed, should no answer ever come.
-    ends: Timestamp,
+    deadline: Timestamp,
 }
 
 /// One VM's part in the coordination of its zone.
@@ -78,18 +78,18 @@
     last_call: CallId,
     peers: BTreeMap<Name, (VmIncarnation, Timestamp)>,
     /// Lives of VMs that were followed by another; a late word of theirs counts no more.
-    ended_lives: VecDeque<VmIncarnation>,
-    listed: Option<BTreeSet<Name>>,
-    last_heard: Timestamp,
+    ended_incarnations: VecDeque<VmIncarnation>,
+    listed_vms: Option<BTreeSet<Name>>,
+    last_announcement_at: Timestamp,
     /// Whether the coordinator last heard named this VM as its standby; a VM that has
     /// just started looks for itself as soon as a standby would.
     named_standby: bool,
     /// Whether the coordinator was seen to go since it was last heard.
-    forsaken: bool,
-    stop_wanted: bool,
+    coordinator_lost: bool,
+    stop_requested: bool,
     /// New owners kept for a detached coordinator, by shard.
     records: BTreeMap<(ServiceKey, ShardIndex), (TargetKey, Epoch)>,
-    round: Option<RecordRound>,
+    record_round: Option<RecordRound>,
     last_batch: u64,
     next_rebalance: Timestamp,
     log: ZoneLog,
@@ -98,7 +98,7 @@
 }
 
 /// The target that an event is an answer of.
-fn answering_target(event: &ZoneEvent) -> Option<TargetKey> {
+fn replying_target(event: &ZoneEvent) -> Option<TargetKey> {
     match event {
         ZoneEvent::TargetReplied(reply) => Some(reply.target),
         ZoneEvent::TargetFailed(target, _) => Some(*target),
@@ -124,14 +124,14 @@
             calls: BTreeMap::new(),
             last_call: CallId(0),
             peers: BTreeMap::new(),
-            ended_lives: VecDeque::new(),
-            listed: None,
-            last_heard: now,
+            ended_incarnations: VecDeque::new(),
+            listed_vms: None,
+            last_announcement_at: now,
             named_standby: true,
-            forsaken: false,
-            stop_wanted: false,
+            coordinator_lost: false,
+            stop_requested: false,
             records: BTreeMap::new(),
-            round: None,
+            record_round: None,
             last_batch: 0,
             next_rebalance: now,
             log: ZoneLog::default(),
@@ -145,18 +145,18 @@
     pub fn handle(&mut self, event: ZoneEvent, now: Timestamp) -> Vec<ZoneAction> {
         // PERF: an answer of one target concerns that target's session alone. A look at
         // all sessions for each answer would cost the square of their number.
-        let only = answering_target(&event);
-        self.note(event, now);
-        self.keep_mandate(now);
+        let only = replying_target(&event);
+        self.apply_event(event, now);
+        self.drive_mandate(now);
         if self.coordinates() {
-            self.end_late_calls(now);
+            self.time_out_calls(now);
             self.load_placements(now);
             if only.is_none() {
-                self.look_after_sessions(now);
+                self.expire_sessions(now);
             }
             self.plan(now);
             self.write_placements(now);
-            self.ask_records(now);
+            self.replicate_records(now);
             match only {
                 Some(target) => self.send_order(target, now),
                 None => self.send_orders(now),
@@ -195,8 +195,9 @@
     #[must_use]
     pub fn has_lost_coordinator(&self, now: Timestamp) -> bool {
         let renewals = if self.named_standby { 1 } else { 5 };
-        self.forsaken
-            || now.since(self.last_heard) >= self.settings.times.renewal_interval * renewals
+        self.coordinator_lost
+            || now.since(self.last_announcement_at)
+                >= self.settings.times.renewal_interval * renewals
     }
 
     /// Whether routers may be told of this VM's placements.
@@ -244,48 +245,50 @@
         self.placements.values().flat_map(routes).collect()
     }
 
-    fn note(&mut self, event: ZoneEvent, now: Timestamp) {
+    fn apply_event(&mut self, event: ZoneEvent, now: Timestamp) {
         match event {
             ZoneEvent::Tick => {}
-            ZoneEvent::ConfigChanged(config) => self.note_config(config),
-            ZoneEvent::MandateRead(call, answer) => self.note_mandate_read(call, answer, now),
-            ZoneEvent::MandateWritten(call, answer) => self.note_mandate_written(call, answer, now),
+            ZoneEvent::ConfigChanged(config) => self.apply_config(config),
+            ZoneEvent::MandateRead(call, answer) => self.handle_mandate_read(call, answer, now),
+            ZoneEvent::MandateWritten(call, answer) => {
+                self.handle_mandate_written(call, answer, now)
+            }
             ZoneEvent::PlacementRead(call, service, answer) => {
-                self.note_placement_read(call, service, answer, now);
+                self.handle_placement_read(call, service, answer, now);
             }
             ZoneEvent::PlacementWritten(call, service, answer) => {
-                self.note_placement_written(call, service, answer, now);
+                self.handle_placement_written(call, service, answer, now);
             }
-            ZoneEvent::VmsListed(names) => self.listed = Some(names.into_iter().collect()),
-            ZoneEvent::TargetReplied(reply) => self.note_reply(&reply, now),
+            ZoneEvent::VmsListed(names) => self.listed_vms = Some(names.into_iter().collect()),
+            ZoneEvent::TargetReplied(reply) => self.handle_reply(&reply, now),
             ZoneEvent::TargetFailed(target, sequence) => {
                 if let Some(session) = self.sessions.get_mut(&target) {
                     session.record_failure(sequence, now, &self.settings.times);
                 }
             }
-            ZoneEvent::PeerSeen(vm) => self.note_peer(vm, now),
+            ZoneEvent::PeerSeen(vm) => self.record_peer(vm, now),
             ZoneEvent::CoordinatorAnnounced(term, standby) => {
                 self.named_standby = standby;
-                self.note_coordinator(term, now);
+                self.handle_announcement(term, now);
             }
             ZoneEvent::CoordinatorLost => {
-                self.forsaken = true;
-                self.watch.hurry(now);
+                self.coordinator_lost = true;
+                self.watch.schedule_read_by(now);
             }
-            ZoneEvent::RecordBatchReceived(batch) => self.note_record_asked(&batch, now),
-            ZoneEvent::RecordResponseReceived(answer) => self.note_record_answer(&answer, now),
-            ZoneEvent::StepDownRequested(term) => self.note_step_down(term),
+            ZoneEvent::RecordBatchReceived(batch) => self.store_records(&batch, now),
+            ZoneEvent::RecordResponseReceived(answer) => self.handle_record_response(&answer, now),
+            ZoneEvent::StepDownRequested(term) => self.handle_step_down_request(term),
             ZoneEvent::StepDownConfirmed(term) => {
-                self.see_term(term);
+                self.observe_term(term);
                 if self.coordinates() && term == self.term {
                     self.predecessor.stopped_at.get_or_insert(now);
                 }
             }
-            ZoneEvent::StopRequested => self.stop_wanted = true,
+            ZoneEvent::StopRequested => self.stop_requested = true,
         }
     }
 
-    fn note_config(&mut self, config: Arc<DeclaredConfig>) {
+    fn apply_config(&mut self, config: Arc<DeclaredConfig>) {
         let newer = self.config.as_ref().is_none_or(|known| known.revision <= config.revision);
         if newer || !nickellead_core::enforced!("config_monotonic") {
             self.config = Some(config);
@@ -296,35 +299,35 @@
     }
 
     /// Notes that a VM was heard; a life that another one followed is over for good.
-    fn note_peer(&mut self, vm: VmIncarnation, now: Timestamp) {
-        if self.ended_lives.contains(&vm) {
+    fn record_peer(&mut self, vm: VmIncarnation, now: Timestamp) {
+        if self.ended_incarnations.contains(&vm) {
             return;
         }
         let former = self.peers.insert(vm.vm.clone(), (vm.clone(), now));
         if let Some((former, _)) = former.filter(|(former, _)| *former != vm) {
-            if self.ended_lives.len() == ENDED_LIVES_MAX {
-                self.ended_lives.pop_front();
+            if self.ended_incarnations.len() == MAX_ENDED_INCARNATIONS {
+                self.ended_incarnations.pop_front();
             }
-            self.ended_lives.push_back(former);
+            self.ended_incarnations.push_back(former);
         }
     }
 
-    fn note_coordinator(&mut self, term: Term, now: Timestamp) {
+    fn handle_announcement(&mut self, term: Term, now: Timestamp) {
         if term < self.highest_term {
             return;
         }
-        self.last_heard = now;
-        self.forsaken = false;
-        self.see_term(term);
+        self.last_announcement_at = now;
+        self.coordinator_lost = false;
+        self.observe_term(term);
     }
 
-    fn note_step_down(&mut self, term: Term) {
-        self.see_term(term);
+    fn handle_step_down_request(&mut self, term: Term) {
+        self.observe_term(term);
         self.actions.push(ZoneAction::ConfirmStepDown(self.highest_term));
     }
 
     /// Takes note of a term; a higher one than this VM's ends its coordination.
-    fn see_term(&mut self, term: Term) {
+    fn observe_term(&mut self, term: Term) {
         if term <= self.highest_term {
             return;
         }
@@ -342,7 +345,7 @@
         self.sessions.clear();
         self.placements.clear();
         self.calls.clear();
-        self.round = None;
+        self.record_round = None;
         self.watch.forget_calls();
     }
 
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -14,7 +14,7 @@
 use crate::shard::{PendingWrite, PlacementState};
 
 /// Between two looks at the balance of load.
-const REBALANCE_PERIOD: Duration = Duration::from_millis(100);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long shards wait for targets that were not heard yet: first ones, and those of targets that
 /// were all lost at once. A live target answers within one heartbeat, 0.4 s.
@@ -25,13 +25,13 @@
         if !self.may_plan() {
             return;
         }
-        self.ask_predecessor(now);
+        self.request_step_down(now);
         let services: Vec<ServiceKey> = self.placements.keys().copied().collect();
         for service in &services {
             self.plan_owners(*service, now);
         }
-        if now >= self.next_rebalance && !self.stop_wanted {
-            self.next_rebalance = now + REBALANCE_PERIOD;
+        if now >= self.next_rebalance && !self.stop_requested {
+            self.next_rebalance = now + REBALANCE_INTERVAL;
             for service in services {
                 self.plan_service_moves(service, now);
             }
@@ -40,8 +40,8 @@
 
     /// Chooses an owner for each free shard that has none in view.
     fn plan_owners(&mut self, service: ServiceKey, now: Timestamp) {
-        let gathers = self.gathers_targets(service, now);
-        let returns = self.awaits_lost_targets(service, now);
+        let gathers = self.awaits_first_contact(service, now);
+        let returns = self.awaits_expired_targets(service, now);
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
@@ -89,7 +89,7 @@
     /// Whether shards that never had an owner wait for targets that were not heard yet.
     ///
     /// Else the first target to answer would get them all, and give most away again.
-    fn gathers_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
+    fn awaits_first_contact(&self, service: ServiceKey, now: Timestamp) -> bool {
         let early =
             self.placements.get(&service).is_some_and(|known| now < known.discovery_deadline);
         let expected = |session: &TargetSession| {
@@ -100,7 +100,7 @@
     }
 
     /// Whether shards wait for targets that were all lost at once.
-    fn awaits_lost_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
+    fn awaits_expired_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
         let early = self.placements.get(&service).is_some_and(|known| now < known.return_deadline);
         let away = |session: &TargetSession| {
             let unheard = matches!(session.phase, SessionPhase::Lost | SessionPhase::Fenced);
@@ -178,7 +178,7 @@
         self.sessions.values().filter(of_service).map(load).collect()
     }
 
-    pub(super) fn note_placement_written(
+    pub(super) fn handle_placement_written(
         &mut self,
         call: CallId,
         service: ServiceKey,
@@ -215,7 +215,7 @@
                 placement.pending = None;
             }
             WriteOutcome::Conflict => placement.needs_read = true,
-            WriteOutcome::Failed => self.pause_calls(service, now),
+            WriteOutcome::Failed => self.back_off_calls(service, now),
         }
     }
 
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -16,7 +16,7 @@
 use nickellead_core::enforced;
 
 /// Between two tries to reach a standby that did not answer.
-const ASK_PERIOD: Duration = Duration::from_millis(100);
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One batch under way to the standbys.
 #[derive(Clone, Debug)]
@@ -24,27 +24,27 @@
     batch: RecordBatch,
     services: Vec<ServiceKey>,
     missing: BTreeSet<VmIncarnation>,
-    next_ask: Timestamp,
+    next_send: Timestamp,
 }
 
 impl ZoneCoordinator {
     /// Asks the standbys to keep the pending new owners, while detached.
-    pub(super) fn ask_records(&mut self, now: Timestamp) {
+    pub(super) fn replicate_records(&mut self, now: Timestamp) {
         if self.phase != MandatePhase::Detached {
-            self.round = None;
+            self.record_round = None;
             return;
         }
-        if self.round.is_none() {
+        if self.record_round.is_none() {
             self.begin_round(now);
         }
-        let gone: Vec<VmIncarnation> = match &self.round {
+        let gone: Vec<VmIncarnation> = match &self.record_round {
             Some(round) => round.missing.iter().filter(|vm| self.is_gone(vm)).cloned().collect(),
             None => return,
         };
-        let Some(round) = &mut self.round else { return };
+        let Some(round) = &mut self.record_round else { return };
         round.missing.retain(|vm| !gone.contains(vm));
-        if now >= round.next_ask {
-            round.next_ask = now + ASK_PERIOD;
+        if now >= round.next_send {
+            round.next_send = now + RECORD_RETRY_INTERVAL;
             for vm in &round.missing {
                 let ask = ZoneAction::SendRecordBatch(vm.clone(), round.batch.clone());
                 self.actions.push(ask);
@@ -78,16 +78,16 @@
         self.last_batch += 1;
         let batch = RecordBatch { term: self.term, number: self.last_batch, entries };
         let missing = self.standbys().into_iter().collect();
-        self.round = Some(RecordRound { batch, services, missing, next_ask: now });
+        self.record_round = Some(RecordRound { batch, services, missing, next_send: now });
     }
 
     fn finish_round(&mut self) {
         let complete =
             |round: &RecordRound| round.missing.is_empty() || !enforced!("record_before_grant");
-        if !self.round.as_ref().is_some_and(complete) {
+        if !self.record_round.as_ref().is_some_and(complete) {
             return;
         }
-        let Some(round) = self.round.take() else {
+        let Some(round) = self.record_round.take() else {
             return;
         };
         for service in round.services {
@@ -95,11 +95,11 @@
         }
     }
 
-    pub(super) fn note_record_answer(&mut self, answer: &RecordResponse, now: Timestamp) {
+    pub(super) fn handle_record_response(&mut self, answer: &RecordResponse, now: Timestamp) {
         if self.coordinates() && answer.term > self.term {
-            self.see_term(answer.term);
+            self.observe_term(answer.term);
         }
-        let Some(round) = &mut self.round else { return };
+        let Some(round) = &mut self.record_round else { return };
         if answer.number != round.batch.number || answer.term > round.batch.term || !answer.kept {
             return;
         }
@@ -109,11 +109,11 @@
     }
 
     /// Keeps new owners for a detached coordinator, unless this VM began to take over.
-    pub(super) fn note_record_asked(&mut self, batch: &RecordBatch, now: Timestamp) {
+    pub(super) fn store_records(&mut self, batch: &RecordBatch, now: Timestamp) {
         let follows = self.phase == MandatePhase::Follower && batch.term >= self.highest_term;
         let kept = follows || !enforced!("record_promise");
         if kept {
-            self.note_coordinator(batch.term, now);
+            self.handle_announcement(batch.term, now);
             for entry in &batch.entries {
                 let key = (entry.service, entry.shard);
                 let value = (entry.target, entry.epoch);
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -8,11 +8,11 @@
 use crate::mandate::VmIncarnation;
 
 /// How long a VM stays eligible as a standby after it was last heard.
-const PEER_FRESH: Duration = Duration::from_millis(1_500);
+const PEER_TTL: Duration = Duration::from_millis(1_500);
 
 impl ZoneCoordinator {
     /// Whether this VM may take the mandate, and what it then knows of the one before.
-    pub(super) fn may_take(&self, now: Timestamp) -> Option<Predecessor> {
+    pub(super) fn acquisition_basis(&self, now: Timestamp) -> Option<Predecessor> {
         if self.config.is_none() || !self.is_listed(&self.settings.vm.vm) {
             return None;
         }
@@ -26,8 +26,8 @@
             });
         };
         let times = &self.settings.times;
-        let still = now.since(self.watch.since) >= times.mandate_timeout;
-        let silent = now.since(self.last_heard) >= times.mandate_timeout;
+        let still = now.since(self.watch.version_since) >= times.mandate_timeout;
+        let silent = now.since(self.last_announcement_at) >= times.mandate_timeout;
         if !still || !silent {
             return None;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Whether this VM is a standby, or anyone may take the mandate.
-    pub(super) fn may_take_soon(&self) -> bool {
+    pub(super) fn may_acquire_soon(&self) -> bool {
         let Some(object) = &self.watch.object else { return true };
         let standby = object.standbys.contains(&self.settings.vm);
         standby || object.stopped || object.standbys.is_empty()
@@ -54,7 +54,7 @@
     pub(super) fn choose_standbys(&self, now: Timestamp) -> Vec<VmIncarnation> {
         let fresh = |vm: &VmIncarnation| {
             let heard = self.peers.get(&vm.vm);
-            heard.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_FRESH)
+            heard.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_TTL)
         };
         let eligible = |vm: &&VmIncarnation| {
             **vm != self.settings.vm && self.is_listed(&vm.vm) && !self.is_gone(vm)
@@ -75,16 +75,17 @@
     }
 
     pub(super) fn is_listed(&self, vm: &Name) -> bool {
-        self.listed.as_ref().is_some_and(|listed| listed.contains(vm))
+        self.listed_vms.as_ref().is_some_and(|listed_vms| listed_vms.contains(vm))
     }
 
     /// Whether a process surely runs no more.
     ///
-    /// Coordinators and standbys were listed before the mandate named them, so
+    /// Coordinators and standbys were listed_vms before the mandate named them, so
     /// that absence from the lagging list means gone, not "not there yet". A VM
     /// heard under another incarnation has started anew.
     pub(super) fn is_gone(&self, vm: &VmIncarnation) -> bool {
-        let unlisted = self.listed.as_ref().is_some_and(|listed| !listed.contains(&vm.vm));
+        let unlisted =
+            self.listed_vms.as_ref().is_some_and(|listed_vms| !listed_vms.contains(&vm.vm));
         let heard = self.peers.get(&vm.vm);
         let restarted = heard.is_some_and(|(known, _)| known.incarnation != vm.incarnation);
         let own = vm.vm == self.settings.vm.vm && vm.incarnation != self.settings.vm.incarnation;
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -14,7 +14,7 @@
 use nickellead_core::enforced;
 
 impl ZoneCoordinator {
-    pub(super) fn note_reply(&mut self, reply: &TargetReply, now: Timestamp) {
+    pub(super) fn handle_reply(&mut self, reply: &TargetReply, now: Timestamp) {
         if !self.coordinates() {
             return;
         }
@@ -28,29 +28,33 @@
             self.notify(ZoneNotice::TargetRestarted(name));
         }
         match changes.superseded_by {
-            Some(term) => self.see_term(term),
-            None => self.apply_news(reply.target, changes),
+            Some(term) => self.observe_term(term),
+            None => self.apply_session_changes(reply.target, changes),
         }
     }
 
-    fn apply_news(&mut self, target: TargetKey, changes: SessionChanges) {
+    fn apply_session_changes(&mut self, target: TargetKey, changes: SessionChanges) {
         if let Some(held) = changes.fenced_with {
-            self.notice_of(target, ZoneNotice::TargetFenced);
-            self.compare_held(target, &held);
+            self.notify_target(target, ZoneNotice::TargetFenced);
+            self.reconcile_held_grants(target, &held);
         }
         if changes.synced {
-            self.notice_of(target, ZoneNotice::TargetLive);
-            self.call_attention(target);
+            self.notify_target(target, ZoneNotice::TargetLive);
+            self.request_assignment(target);
         }
         for grant in changes.granted {
-            self.change_shard(target, grant, ShardEvent::Granted);
+            self.advance_owned_shard(target, grant, ShardEvent::Granted);
         }
         for grant in changes.refused.into_iter().chain(changes.released) {
             self.free_shard(target, grant);
         }
     }
 
-    fn notice_of(&mut self, target: TargetKey, notice: fn(nickellead_core::Name) -> ZoneNotice) {
+    fn notify_target(
+        &mut self,
+        target: TargetKey,
+        notice: fn(nickellead_core::Name) -> ZoneNotice,
+    ) {
         if let Some(session) = self.sessions.get(&target) {
             let name = session.name.clone();
             self.notify(notice(name));
@@ -62,7 +66,7 @@
     /// A shard that the placement gives it and that it does not hold is freed:
     /// no lower term can grant it any more. A higher epoch than the placement's
     /// was granted by a detached coordinator, and stands.
-    fn compare_held(&mut self, target: TargetKey, held: &[ShardGrant]) {
+    fn reconcile_held_grants(&mut self, target: TargetKey, held: &[ShardGrant]) {
         let Some(session) = self.sessions.get(&target) else {
             return;
         };
@@ -81,7 +85,7 @@
                 .is_some_and(TargetSession::accepts_grants);
             let higher = record.epoch < grant.epoch;
             let adopts = higher && !owner_live && !self.predecessor.records_known;
-            // Its lease lapsed and nobody was given the shard since: it may serve on as before.
+            // Its lease expired and nobody was given the shard since: it may serve on as before.
             let returns = record.phase == ShardPhase::Free && record.epoch == grant.epoch;
             if adopts || returns {
                 placement.set_loaded_owner(grant.shard, Some(target), grant.epoch);
@@ -106,14 +110,14 @@
     }
 
     /// Has owners chosen anew for the free shards of a target's service.
-    fn call_attention(&mut self, target: TargetKey) {
+    fn request_assignment(&mut self, target: TargetKey) {
         let service = self.sessions.get(&target).map(|session| session.service);
         if let Some(placement) = service.and_then(|service| self.placements.get_mut(&service)) {
             placement.needs_assignment = true;
         }
     }
 
-    fn change_shard(&mut self, target: TargetKey, grant: ShardGrant, event: ShardEvent) {
+    fn advance_owned_shard(&mut self, target: TargetKey, grant: ShardGrant, event: ShardEvent) {
         let Some(session) = self.sessions.get(&target) else {
             return;
         };
@@ -154,17 +158,17 @@
         self.log.push(route);
     }
 
-    /// Ends the sessions whose lease has surely lapsed.
-    pub(super) fn look_after_sessions(&mut self, now: Timestamp) {
-        let lapsed: Vec<TargetKey> = self
+    /// Ends the sessions whose lease has surely expired.
+    pub(super) fn expire_sessions(&mut self, now: Timestamp) {
+        let expired: Vec<TargetKey> = self
             .sessions
             .values()
-            .filter(|session| self.has_lapsed(session, now))
+            .filter(|session| self.is_expired(session, now))
             .map(|session| session.key)
             .collect();
-        self.await_return(&lapsed, now);
-        for target in lapsed {
-            self.lose_target(target, now);
+        self.expect_return(&expired, now);
+        for target in expired {
+            self.expire_target(target, now);
         }
     }
 
@@ -172,18 +176,18 @@
     ///
     /// This VM stood still, or was cut off, rather than all of them. Else the first target to
     /// answer would get all their shards, and give most away again.
-    fn await_return(&mut self, lapsed: &[TargetKey], now: Timestamp) {
+    fn expect_return(&mut self, expired: &[TargetKey], now: Timestamp) {
         for (service, placement) in &mut self.placements {
             let mut lives = self.sessions.values().filter(|session| {
                 session.service == *service && session.phase != SessionPhase::Lost
             });
-            if !lapsed.is_empty() && lives.all(|session| lapsed.contains(&session.key)) {
+            if !expired.is_empty() && lives.all(|session| expired.contains(&session.key)) {
                 placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
             }
         }
     }
 
-    fn has_lapsed(&self, session: &TargetSession, now: Timestamp) -> bool {
+    fn is_expired(&self, session: &TargetSession, now: Timestamp) -> bool {
         if session.phase == SessionPhase::Lost {
             return false;
         }
@@ -203,7 +207,7 @@
         }
     }
 
-    fn lose_target(&mut self, target: TargetKey, now: Timestamp) {
+    fn expire_target(&mut self, target: TargetKey, now: Timestamp) {
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
         };
@@ -315,8 +319,8 @@
     }
 
     /// Asks the predecessor to step down while a target is out of this VM's reach.
-    pub(super) fn ask_predecessor(&mut self, now: Timestamp) {
-        let due = now.since(self.predecessor.asked_at) >= self.settings.times.renewal_interval;
+    pub(super) fn request_step_down(&mut self, now: Timestamp) {
+        let due = now.since(self.predecessor.requested_at) >= self.settings.times.renewal_interval;
         if !due || !self.awaits_predecessor_stop() {
             return;
         }
@@ -327,7 +331,7 @@
             self.predecessor.stopped_at = Some(now);
             return;
         }
-        self.predecessor.asked_at = now;
+        self.predecessor.requested_at = now;
         self.actions.push(ZoneAction::RequestStepDown(holder, self.term));
     }
 
