--- a/crates/nickellead_lease/src/lib.rs
+++ b/crates/nickellead_lease/src/lib.rs
@@ -1,13 +1,13 @@
-//! Ownership as pure state machines: sessions, grants, mandate and moves.
+//! Exclusive shard ownership as pure state machines: sessions, grants, the mandate (leader
+//! lease) and shard moves.
 //!
-//! Everything here is a function of (state, event, time) to (state, actions).
-//! No socket, no clock and no thread is touched, so the same code runs in the
-//! process, in the tests and in the benches. The argument for why no two
-//! targets own a key at once stands in `docs/design/ownership.md`.
+//! Each state machine maps (state, event, time) to (state, actions) and performs no I/O, so
+//! production, tests and benchmarks run the same code. `docs/design/ownership.md` proves that
+//! no two targets own a key at the same time.
 //!
-//! - [`GrantGuard`] is the target's side: what it may run, and until when.
-//! - [`ZoneCoordinator`] is the VM's side: it follows, or it holds the zone's
-//!   mandate and decides who owns which shard.
+//! - [`GrantGuard`] runs in a target and decides which requests the target may execute.
+//! - [`ZoneCoordinator`] runs in each VM. It follows the zone's coordinator, or holds the
+//!   mandate and assigns shards to targets.
 
 mod charts;
 mod coordinator;
