--- a/crates/nickellead_lease/src/object.rs
+++ b/crates/nickellead_lease/src/object.rs
@@ -1,51 +1,51 @@
-//! Objects that the system itself keeps in the platform, and its answers.
+//! The placement object in the platform's store, and outcomes of reads and writes.
 
 use nickellead_core::{Epoch, Name, Term, Version};
 use serde::{Deserialize, Serialize};
 
-/// One shard's owner, as it stands in a placement object: `[target, epoch]`.
+/// Owner of one shard, serialized as `[target, epoch]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementOwner(
-    /// Place in [`PlacementObject::targets`], counted from 1; 0 for none.
+    /// One-based index into [`PlacementObject::targets`]; 0 if the shard has no owner.
     pub u32,
-    /// The epoch last granted.
+    /// Epoch of the latest grant.
     pub Epoch,
 );
 
-/// Placement of one service in one zone.
+/// Stored owners of one service's shards in one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementObject {
-    /// Term of the coordinator that wrote it.
+    /// Term of the coordinator that wrote the object.
     pub term: Term,
-    /// Number of the write within the term.
+    /// Sequence number of the write within the term.
     pub write_id: u64,
-    /// Number of the first shard in `owners`.
+    /// Shard that `owners[0]` describes.
     pub first_shard: u32,
-    /// The targets that `owners` refers to.
+    /// Targets that the entries of `owners` index.
     pub targets: Vec<Name>,
-    /// Owners of the zone's shards, in order.
+    /// Owners of the zone's shards, in shard order.
     pub owners: Vec<PlacementOwner>,
 }
 
-/// What a read of an object gave.
+/// Outcome of reading an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome<T> {
     /// The object and its version.
     Found(T, Version),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// No answer, or an error.
+    /// The call timed out or returned an error.
     Failed,
 }
 
-/// What a conditional write gave.
+/// Outcome of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Written, with this version.
+    /// The object was written and has this version.
     Done(Version),
-    /// The object had another version than expected.
+    /// The stored version differed from the expected one.
     Conflict,
-    /// No answer, or an error: the write may have taken effect, now or later.
+    /// The call timed out or returned an error; the write may still take effect.
     Failed,
 }
