--- a/crates/nickellead_lease/src/order.rs
+++ b/crates/nickellead_lease/src/order.rs
@@ -1,94 +1,93 @@
-//! What a coordinator sends to a target, and what the target answers.
+//! Orders from a coordinator to a target, and the target's replies.
 //!
-//! One kind of order does everything: it extends the session, names the grants
-//! that stand, adds grants and asks for releases. It may be lost, doubled,
-//! delayed or reordered without harm.
+//! A single order type extends the session, lists the grants that remain valid, adds grants and
+//! requests releases. Orders are safe under loss, duplication, delay and reordering.
 
 use bincode::{Decode, Encode};
 use nickellead_core::{Epoch, Incarnation, Nonce, Sequence, ShardIndex, TargetKey, Term};
 use serde::{Deserialize, Serialize};
 
-/// "This shard at this epoch."
+/// Ownership of one shard at one epoch.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct ShardGrant {
-    /// The shard.
+    /// Index of the shard within its service.
     pub shard: ShardIndex,
-    /// Its epoch.
+    /// Fencing token; grows with each new owner of the shard.
     pub epoch: Epoch,
 }
 
-/// One order of a coordinator to a target.
+/// Order of a coordinator to a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetOrder {
-    /// The target that is meant; another one at the same address refuses.
+    /// Intended recipient; another target at the same address refuses the order.
     pub target: TargetKey,
     /// Term of the coordinator's mandate.
     pub term: Term,
-    /// The life of the target that is meant; `None` in a first contact.
+    /// Intended incarnation of the target; `None` in a first contact.
     pub incarnation: Option<Incarnation>,
-    /// Number of the order within term and incarnation.
+    /// Sequence number of the order within its term and incarnation.
     pub sequence: Sequence,
-    /// The newest nonce that the coordinator has from this target.
+    /// Latest nonce that the coordinator received from this target.
     pub echo: Option<Nonce>,
-    /// Length of the lease, in milliseconds from when the echoed nonce was issued.
+    /// Lease duration in milliseconds, counted from when the target issued the echoed nonce.
     pub lease_ms: u64,
-    /// The full list of grants that stand; the target drops all others.
+    /// Complete list of grants that remain valid; the target drops all others.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub standing: Option<Vec<ShardGrant>>,
-    /// New grants.
+    /// Grants to add.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub grants: Vec<ShardGrant>,
-    /// Shards that the target is to give up once their running requests are done.
+    /// Grants to release once their running requests have finished.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub releases: Vec<ShardGrant>,
 }
 
-/// What became of an order.
+/// How a target handled an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderOutcome {
-    /// Carried out.
+    /// The order was applied.
     Accepted,
-    /// Carried out as a contact only: a list of standing grants must come first.
+    /// Only the contact was recorded: the target needs a list of standing grants first.
     Unsynced,
-    /// A coordinator with a higher term spoke before.
+    /// The target has seen a higher term.
     StaleTerm,
-    /// The order was for an earlier life of this target.
+    /// The order was meant for another incarnation of this target.
     WrongIncarnation,
-    /// A later order came before.
+    /// The target has already processed this sequence number or a later one.
     StaleSequence,
-    /// The order was for another target.
+    /// The order was meant for another target.
     WrongTarget,
 }
 
-/// A target's answer to an order.
+/// Reply of a target to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetReply {
-    /// What became of the order.
+    /// How the target handled the order.
     pub outcome: OrderOutcome,
-    /// The target's name, as its key.
+    /// Key derived from the target's name.
     pub target: TargetKey,
     /// Highest term the target has seen.
     pub term: Term,
-    /// The life of this target.
+    /// Current incarnation of the target.
     pub incarnation: Incarnation,
-    /// The order that this answers.
+    /// Sequence number of the order that this reply belongs to.
     pub sequence: Sequence,
-    /// A fresh nonce.
+    /// Newly issued nonce, to be echoed by the next order.
     pub nonce: Nonce,
-    /// Grants held, in the answer to a first contact.
+    /// Grants that the target holds; `None` once it has synced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held: Option<Vec<ShardGrant>>,
-    /// Which of the asked releases are done.
+    /// Requested releases that are complete.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub released: Vec<ShardGrant>,
-    /// Which of the offered grants were refused, as a higher epoch was seen.
+    /// Grants refused because the target has seen the same or a higher epoch.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<ShardGrant>,
-    /// Whether the target wants to leave.
+    /// Whether the target asks to have its shards moved away.
     #[serde(default)]
     pub leaving: bool,
 }
