--- a/crates/nickellead_lease/src/view.rs
+++ b/crates/nickellead_lease/src/view.rs
@@ -1,62 +1,62 @@
-//! What a coordinator tells the routers: who serves which shard.
+//! Shard owners that a coordinator publishes to the routers.
 
 use std::collections::VecDeque;
 
 use bincode::{Decode, Encode};
 use nickellead_core::{Epoch, ServiceKey, ShardIndex, TargetKey, Term, Version, ZoneKey};
 
-/// Changes kept for subscribers that lag.
-const LOG_LENGTH: usize = 8_192;
+/// Changes that the log retains for subscribers that lag.
+const MAX_LOGGED_CHANGES: usize = 8_192;
 
-/// Where requests for a shard go.
+/// Where routers send requests for a shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum ShardOwner {
-    /// No target owns it, and none is about to.
+    /// No target owns the shard, and none is being assigned.
     #[default]
     Unowned,
-    /// A new owner is on its way: requests may wait a short while.
+    /// An owner is being assigned; requests may wait briefly.
     Moving,
-    /// This target owns it.
+    /// The shard has an owner that serves requests.
     Target {
-        /// The owner.
+        /// Key of the owner.
         target: TargetKey,
-        /// The epoch that requests must carry.
+        /// Epoch that requests must carry.
         epoch: Epoch,
     },
 }
 
-/// One shard's new owner.
+/// Change of one shard's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RouteChange {
-    /// The service.
+    /// Service that the shard belongs to.
     pub service: ServiceKey,
-    /// The shard.
+    /// Index of the shard within the service.
     pub shard: ShardIndex,
-    /// Where its requests go from now on.
+    /// State after the change.
     pub owner: ShardOwner,
 }
 
-/// What changed in a zone since a version.
+/// Changes of a zone's shard owners since a version.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ZoneDelta {
-    /// The zone.
+    /// Zone whose shards changed.
     pub zone: ZoneKey,
-    /// Term of the coordinator that says so.
+    /// Term of the coordinator that published the delta.
     pub term: Term,
-    /// The version this builds on; `None` when the delta is the whole table.
+    /// Version that the delta applies to; `None` if it contains the whole table.
     pub base: Option<Version>,
-    /// The version after it.
+    /// Version after applying the delta.
     pub version: Version,
-    /// The changes, oldest first.
+    /// Changes, oldest first.
     pub changes: Vec<RouteChange>,
 }
 
-/// The published routes of a zone, with a bounded log of their changes.
+/// Version of a zone's published shard owners, with a bounded log of their changes.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneLog {
-    /// Term of the coordinator.
+    /// Term of the coordinator that publishes the changes.
     pub term: Term,
-    /// Counts changes within the term.
+    /// Number of changes within the term.
     pub version: Version,
     changes: VecDeque<RouteChange>,
 }
@@ -67,16 +67,16 @@
         *self = Self { term, ..Self::default() };
     }
 
-    /// Adds a change.
+    /// Appends a change, and drops the oldest one if the log is full.
     pub fn push(&mut self, change: RouteChange) {
         self.version = self.version.next();
-        if self.changes.len() == LOG_LENGTH {
+        if self.changes.len() == MAX_LOGGED_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
     }
 
-    /// The changes since `known`, or `None` when only the whole table will do.
+    /// Returns the changes since `known`, or `None` if the log no longer covers them.
     #[must_use]
     pub fn changes_since(&self, known: Option<(Term, Version)>) -> Option<Vec<RouteChange>> {
         let (term, version) = known?;
