--- a/crates/nickellead_lease/src/timings.rs
+++ b/crates/nickellead_lease/src/timings.rs
@@ -1,4 +1,4 @@
-//! The times that sessions and mandates live by.
+//! Durations of sessions and of the mandate (leader lease).
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 
 use nickellead_core::enforced;
 
-/// Lengths of time, with the relations between them.
+/// Intervals and timeouts of leases; [`validate`](Self::validate) checks their relations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTimings {
-    /// Between two heartbeats to a target.
+    /// Interval between heartbeats to a target.
     pub heartbeat_interval: Duration,
-    /// How long a target may serve after it issued the nonce that came back.
+    /// How long a target may serve, counted from when it issued the echoed nonce.
     pub lease_duration: Duration,
-    /// Added to every bound on another process's lease.
+    /// Safety margin added to every upper bound of another process's lease.
     pub lease_margin: Duration,
-    /// How long an answer of a target is waited for.
+    /// How long a coordinator waits for the reply to an order.
     pub order_timeout: Duration,
-    /// Between two renewals of the mandate.
+    /// Interval between renewals of the mandate.
     pub renewal_interval: Duration,
-    /// How long the mandate's version must stand still before a standby takes it.
+    /// How long the mandate must go without renewal before another VM may acquire it.
     pub mandate_timeout: Duration,
-    /// How long without an answer of the platform before a coordinator is detached.
+    /// How long renewals must fail before a coordinator detaches from the platform.
     pub detach_timeout: Duration,
-    /// Bound on the difference of clock rates.
+    /// Upper bound of the difference between clock rates.
     pub drift_bound: DriftBound,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl LeaseTimings {
-    /// The safe upper bound of a lease that began no later than `from`, on this clock.
+    /// Returns the upper bound, on the local clock, of a lease that began no later than `from`.
     #[must_use]
     pub fn lease_upper_bound(&self, from: Timestamp) -> Timestamp {
         if enforced!("drift_margin") {
@@ -53,16 +53,19 @@
         }
     }
 
-    /// Checks the relations between the times.
+    /// Checks the relations between the durations.
     ///
     /// # Errors
-    /// Returns the name of the field that does not fit and the reason.
+    /// Returns the name of the invalid setting and the reason.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
         if self.heartbeat_interval.is_zero() {
             return Err(("heartbeat_ms", "must be at least 1".to_owned()));
         }
         if self.lease_duration < self.heartbeat_interval * 4 {
-            return Err(("lease_ms", "must be at least 4 heartbeats: two may be lost".to_owned()));
+            return Err((
+                "lease_ms",
+                "must be at least 4 heartbeats, so that two may be lost".to_owned(),
+            ));
         }
         if self.order_timeout > self.heartbeat_interval {
             return Err(("order_timeout_ms", "must not exceed heartbeat_ms".to_owned()));
@@ -71,8 +74,8 @@
             return Err(("standstill_ms", "must be at least 2 renewals".to_owned()));
         }
         if self.lease_duration < self.mandate_timeout + self.heartbeat_interval * 3 {
-            let reason = "must be at least standstill_ms and 3 heartbeats, \
-                          so that a new coordinator comes before sessions lapse";
+            let reason = "must be at least standstill_ms plus 3 heartbeats, \
+                          so that a new coordinator takes over before sessions expire";
             return Err(("lease_ms", reason.to_owned()));
         }
         if self.detach_timeout < self.renewal_interval * 2 {
