--- a/crates/nickellead_lease/src/mandate.rs
+++ b/crates/nickellead_lease/src/mandate.rs
@@ -1,29 +1,29 @@
-//! The zone's mandate object.
+//! The zone's mandate (leader lease), as stored in the platform.
 
 use nickellead_core::{Incarnation, Name, Term};
 use serde::{Deserialize, Serialize};
 
-/// A VM that may take the mandate when the coordinator is gone.
+/// One run of a VM's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VmIncarnation {
     /// Name of the VM.
     pub vm: Name,
-    /// The life of its process; another life has lost the records.
+    /// Incarnation of the process; a restart changes it and loses the ownership records.
     pub incarnation: Incarnation,
 }
 
-/// A zone's lease of coordination, as the platform keeps it.
+/// Leader lease of a zone; its holder is the zone's coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MandateObject {
-    /// Grows with each new coordinator.
+    /// Grows with each new holder.
     pub term: Term,
-    /// The coordinator.
+    /// VM that coordinates the zone.
     pub holder: VmIncarnation,
-    /// Who may take over while the holder's state is unknown.
+    /// VMs that may take over without proof that the holder has stopped.
     pub standbys: Vec<VmIncarnation>,
-    /// Grows with each renewal.
+    /// Number of renewals within the term.
     pub renewal: u64,
-    /// Whether the holder has given it up and sends no more orders.
+    /// Whether the holder has released the mandate and sends no more orders.
     pub stopped: bool,
 }
