--- a/crates/nickellead_lease/src/charts.rs
+++ b/crates/nickellead_lease/src/charts.rs
@@ -1,135 +1,135 @@
-//! The charts of this crate, embedded from `assets/charts/`.
+//! State charts of sessions, shards and the mandate, embedded from `assets/charts/`.
 
 use std::sync::LazyLock;
 
 use nickellead_chart::{Chart, ChartError, chart_symbol};
 
 chart_symbol! {
-    /// Life of a coordinator's session with one target.
+    /// State of a coordinator's session with one target.
     SessionPhase {
-        /// Not heard in this term; a predecessor may still extend it.
+        /// The target has not replied in this term; a predecessor may still extend its lease.
         New = "new",
-        /// Heard in this term, so that no predecessor can extend it.
+        /// The target has replied in this term, so no predecessor can extend its lease.
         Fenced = "fenced",
-        /// Holds its standing grants and is being extended.
+        /// The target has its standing grants, and orders extend its lease.
         Live = "live",
-        /// Came back as another process; the former one's lease runs out first.
+        /// The target restarted; the lease of the earlier process must expire first.
         Expiring = "lapsing",
-        /// Surely holds no live lease.
+        /// The target holds no lease.
         Lost = "lost",
     }
 }
 
 chart_symbol! {
-    /// What happens to a session.
+    /// Event of a session.
     SessionEvent {
-        /// The target answered a first contact.
+        /// The target replied to a first contact.
         ContactAnswered = "answered",
-        /// The target took its list of standing grants.
+        /// The target applied its list of standing grants.
         Synced = "synced",
-        /// The target answered as another process.
+        /// The target replied with another incarnation.
         Restarted = "restarted",
-        /// The lease has surely run out.
+        /// The upper bound of the lease has passed.
         Expired = "lapsed",
     }
 }
 
 chart_symbol! {
-    /// Life of one shard's ownership.
+    /// State of one shard's ownership.
     ShardPhase {
-        /// Nobody owns it.
+        /// The shard has no owner.
         Free = "free",
-        /// The next owner is being written.
+        /// The next owner is being persisted.
         Writing = "writing",
-        /// The owner is written and is being told.
+        /// The owner is persisted; its grant is being sent.
         Granting = "granting",
-        /// The owner serves it.
+        /// The owner serves the shard.
         Serving = "serving",
-        /// The owner was asked to give it up.
+        /// The owner has been ordered to release the shard.
         Releasing = "releasing",
     }
 }
 
 chart_symbol! {
-    /// What happens to a shard.
+    /// Event of a shard.
     ShardEvent {
         /// A next owner was chosen.
         Planned = "planned",
-        /// The next owner is kept where it outlasts this coordinator.
+        /// The next owner is persisted in the platform or at every standby.
         Written = "written",
-        /// The owner took the grant.
+        /// The owner accepted the grant.
         Granted = "granted",
         /// A planned move began.
         ReleaseRequested = "release_asked",
-        /// The owner gave it up.
+        /// The owner released the shard.
         Released = "released",
-        /// The owner's lease has surely lapsed, or it does not hold the shard.
+        /// The owner's lease has expired, or the owner does not hold the shard.
         OwnerLost = "owner_lost",
-        /// The owner was found to hold it already.
+        /// The shard already has an owner, by the loaded placement or the target's grants.
         Adopted = "adopted",
-        /// The chosen owner was lost before it was told.
+        /// The chosen owner was lost before it received the grant.
         Aborted = "aborted",
     }
 }
 
 chart_symbol! {
-    /// Life of a VM's part in the mandate.
+    /// Role of a VM with respect to the zone's mandate (leader lease).
     MandatePhase {
-        /// Another VM coordinates, or nobody yet.
+        /// The VM does not hold the mandate.
         Follower = "follower",
-        /// Writes itself into the mandate.
+        /// The VM is writing itself into the mandate.
         Acquiring = "taking",
-        /// Holds the mandate and writes its term into the placements.
+        /// The VM holds the mandate and is writing its term into the placements.
         Loading = "loading",
-        /// Coordinates.
+        /// The VM coordinates the zone.
         Leading = "leading",
-        /// Coordinates without the platform.
+        /// The VM coordinates the zone while the platform is unavailable.
         Detached = "detached",
-        /// Hands the mandate over.
+        /// The VM is releasing the mandate.
         Stopping = "stopping",
-        /// Takes no part any more.
+        /// The VM has left the coordination for good.
         Stopped = "stopped",
     }
 }
 
 chart_symbol! {
-    /// What happens to a VM's part in the mandate.
+    /// Event of a VM's role.
     MandateEvent {
-        /// The rules allow to take the mandate.
+        /// The VM may acquire the mandate.
         AcquisitionAllowed = "may_take",
-        /// The mandate names this VM.
+        /// The mandate names this VM as its holder.
         Acquired = "taken",
-        /// A higher term was seen.
+        /// The VM has seen a higher term.
         Superseded = "superseded",
-        /// The term stands in all placements.
+        /// All placements carry this VM's term.
         Loaded = "loaded",
-        /// The platform was silent for too long.
+        /// No renewal has succeeded within the detach timeout.
         PlatformTimedOut = "platform_silent",
-        /// The platform answered again.
+        /// A renewal succeeded after the detach timeout.
         PlatformRecovered = "platform_back",
-        /// The process was asked to stop.
+        /// The process is shutting down.
         StopRequested = "stop_asked",
-        /// The mandate was written as given up.
+        /// The mandate is written as released.
         HandedOver = "handed_over",
     }
 }
 
-/// Every chart of this crate.
+/// The state charts that sessions, shards and the mandate follow.
 #[derive(Debug)]
 pub struct LeaseCharts {
-    /// Sessions.
+    /// Chart of a coordinator's session with one target.
     pub session: Chart<SessionPhase, SessionEvent>,
-    /// Shards.
+    /// Chart of one shard's ownership.
     pub shard: Chart<ShardPhase, ShardEvent>,
-    /// Mandates.
+    /// Chart of a VM's role with respect to the mandate.
     pub mandate: Chart<MandatePhase, MandateEvent>,
 }
 
 impl LeaseCharts {
-    /// Reads and checks the embedded charts.
+    /// Parses and validates the embedded charts.
     ///
     /// # Errors
-    /// Returns the first fault found in a chart.
+    /// Returns the first error found in a chart.
     pub fn load() -> Result<Self, ChartError> {
         Ok(Self {
             session: Chart::load(include_str!("../../../assets/charts/session.json"))?,
@@ -139,11 +139,10 @@
     }
 }
 
-/// The charts, loaded once.
+/// Returns the charts, which are parsed on first use.
 ///
 /// # Panics
-/// When an embedded chart is faulty; `nickellead check` and the tests load them
-/// first, so a build that passed its tests does not get here.
+/// Panics if an embedded chart is invalid. The tests and `nickellead check` detect that first.
 #[must_use]
 #[allow(clippy::expect_used)]
 pub fn charts() -> &'static LeaseCharts {
