--- a/crates/nickellead_lease/src/guard.rs
+++ b/crates/nickellead_lease/src/guard.rs
@@ -1,7 +1,7 @@
-//! The target's side of ownership: what it may run, and until when.
+//! Enforcement of ownership in a target.
 //!
-//! A target embeds a [`GrantGuard`] and asks it twice for each request: when
-//! it admits the request, and once more just before the effect.
+//! A target embeds a [`GrantGuard`] and consults it twice for each request: on admission, and
+//! immediately before the request's side effect.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
 use nickellead_core::enforced;
 
-/// Nonces whose time of issue is remembered.
-const NONCES_KEPT: usize = 16;
+/// Number of latest nonces whose time of issue is retained.
+const MAX_RETAINED_NONCES: usize = 16;
 
-/// Why a request may not run; each of these proves that it did not.
+/// Reason why a request was refused. A refused request has had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunRefusal {
-    /// The session has lapsed.
+    /// The target's lease has expired.
     NoSession,
-    /// The shard is not held.
+    /// The target holds no grant for the shard.
     NotHeld,
-    /// The shard is being released.
+    /// The target is releasing the shard and admits no new requests for it.
     Releasing,
-    /// The request names another epoch than the grant.
+    /// The request's epoch differs from the grant's.
     WrongEpoch,
 }
 
-/// Proof that a request was admitted; hand it back when the request is done.
+/// Proof of a request's admission, to be returned by [`GrantGuard::finish`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestTicket {
     grant: ShardGrant,
@@ -42,7 +42,7 @@
     running: u32,
 }
 
-/// The grants that a target holds, under one session.
+/// The grants and the lease that a target holds.
 #[derive(Clone, Debug)]
 pub struct GrantGuard {
     target: TargetKey,
@@ -54,12 +54,13 @@
     nonces: VecDeque<(Nonce, Timestamp)>,
     next_nonce: Nonce,
     held: BTreeMap<ShardIndex, HeldGrant>,
-    floors: BTreeMap<ShardIndex, Epoch>,
+    /// Grants at or below a shard's floor are refused.
+    epoch_floors: BTreeMap<ShardIndex, Epoch>,
     leaving: bool,
 }
 
 impl GrantGuard {
-    /// A target that has just started and holds nothing.
+    /// Creates the guard of a newly started target, which holds no grants.
     #[must_use]
     pub fn new(target: TargetKey, incarnation: Incarnation) -> Self {
         Self {
@@ -69,20 +70,20 @@
             sequence: Sequence::ZERO,
             synced: false,
             lease_until: Timestamp::ZERO,
-            nonces: VecDeque::with_capacity(NONCES_KEPT),
+            nonces: VecDeque::with_capacity(MAX_RETAINED_NONCES),
             next_nonce: Nonce(1),
             held: BTreeMap::new(),
-            floors: BTreeMap::new(),
+            epoch_floors: BTreeMap::new(),
             leaving: false,
         }
     }
 
-    /// Says with the next answer that this target wants to leave.
+    /// Requests, by the following replies, that the target's shards be moved away.
     pub fn announce_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Carries out an order and answers it.
+    /// Applies an order and returns the reply to it.
     pub fn apply(&mut self, order: &TargetOrder, now: Timestamp) -> TargetReply {
         if let Some(outcome) = self.check_order(order) {
             return self.reply(order, outcome, now);
@@ -97,7 +98,7 @@
         self.sequence = order.sequence;
         let held = (!self.synced).then(|| self.held_grants());
         if let Some(standing) = &order.standing {
-            self.keep_only(standing);
+            self.retain_standing(standing);
             self.synced = true;
         }
         if !self.synced {
@@ -105,17 +106,17 @@
             return TargetReply { held, ..reply };
         }
         self.start_releases(&order.releases);
-        let refused = self.take_grants(&order.grants);
-        self.extend(order);
-        let released = self.released_of(&order.releases);
+        let refused = self.accept_grants(&order.grants);
+        self.extend_lease(order);
+        let released = self.completed_releases(&order.releases);
         let reply = self.reply(order, OrderOutcome::Accepted, now);
         TargetReply { held, released, refused, ..reply }
     }
 
-    /// Admits a request when its shard is held at its epoch under a live session.
+    /// Admits a request if the target holds its shard at its epoch and the lease is valid.
     ///
     /// # Errors
-    /// Returns the refusal, which proves that the request did not run.
+    /// Returns the reason of the refusal; the request must not run.
     pub fn admit(
         &mut self,
         grant: ShardGrant,
@@ -130,15 +131,15 @@
         Ok(RequestTicket { grant })
     }
 
-    /// Whether an admitted request may have its effect now.
+    /// Checks again, immediately before the side effect, that an admitted request may run.
     ///
     /// # Errors
-    /// Returns the refusal, which proves that the request did not run.
+    /// Returns the reason of the refusal; the request must not take effect.
     pub fn check_effect(&self, ticket: &RequestTicket, now: Timestamp) -> Result<(), RunRefusal> {
         if enforced!("effect_check") { self.check_run(ticket.grant, now) } else { Ok(()) }
     }
 
-    /// Notes the end of an admitted request.
+    /// Records the end of an admitted request; the last one completes a pending release.
     pub fn finish(&mut self, ticket: RequestTicket) {
         let shard = ticket.grant.shard;
         let Some(held) = self.held.get_mut(&shard) else {
@@ -153,13 +154,13 @@
         }
     }
 
-    /// Whether this target may run requests for a shard now, at whatever epoch.
+    /// Returns whether the target may run requests for a shard, at any epoch.
     #[must_use]
     pub fn owns(&self, shard: ShardIndex, now: Timestamp) -> bool {
         now < self.lease_until && self.held.contains_key(&shard)
     }
 
-    /// The grants held, live or not.
+    /// Returns the grants held, even if the lease has expired.
     #[must_use]
     pub fn held_grants(&self) -> Vec<ShardGrant> {
         let grant = |(shard, held): (&ShardIndex, &HeldGrant)| ShardGrant {
@@ -169,13 +170,13 @@
         self.held.iter().map(grant).collect()
     }
 
-    /// Until when the session lasts, on this target's clock.
+    /// Returns the end of the lease on the target's clock.
     #[must_use]
     pub const fn lease_until(&self) -> Timestamp {
         self.lease_until
     }
 
-    /// Highest term this target has seen.
+    /// Returns the highest term that the target has seen.
     #[must_use]
     pub const fn term(&self) -> Term {
         self.term
@@ -188,8 +189,8 @@
         if order.term < self.term && enforced!("term_check") {
             return Some(OrderOutcome::StaleTerm);
         }
-        let other_life = order.incarnation.is_some_and(|life| life != self.incarnation);
-        if enforced!("incarnation_check") && other_life {
+        let differs = order.incarnation.is_some_and(|meant| meant != self.incarnation);
+        if enforced!("incarnation_check") && differs {
             return Some(OrderOutcome::WrongIncarnation);
         }
         let same_term = order.term == self.term;
@@ -210,19 +211,20 @@
         Ok(())
     }
 
-    /// Drops every grant that is not in the list, and un-releases those that are.
-    fn keep_only(&mut self, standing: &[ShardGrant]) {
-        let stands: BTreeMap<_, _> =
+    /// Drops every grant that is not in the list, and cancels the release of those that are.
+    fn retain_standing(&mut self, standing: &[ShardGrant]) {
+        let standing_epochs: BTreeMap<_, _> =
             standing.iter().map(|grant| (grant.shard, grant.epoch)).collect();
-        let floors = &mut self.floors;
+        let floors = &mut self.epoch_floors;
         self.held.retain(|shard, held| {
-            let stays = stands.get(shard) == Some(&held.epoch) || !enforced!("standing_list");
-            if stays {
+            let is_standing = standing_epochs.get(shard) == Some(&held.epoch);
+            let retained = is_standing || !enforced!("standing_list");
+            if retained {
                 held.releasing = false;
             } else {
                 raise_floor(floors, *shard, held.epoch);
             }
-            stays
+            retained
         });
     }
 
@@ -236,12 +238,12 @@
                     }
                 }
                 Some(_) => {}
-                None => raise_floor(&mut self.floors, release.shard, release.epoch),
+                None => raise_floor(&mut self.epoch_floors, release.shard, release.epoch),
             }
         }
     }
 
-    fn released_of(&self, releases: &[ShardGrant]) -> Vec<ShardGrant> {
+    fn completed_releases(&self, releases: &[ShardGrant]) -> Vec<ShardGrant> {
         let is_released = |release: &&ShardGrant| {
             let held = self.held.get(&release.shard);
             held.is_none_or(|held| held.epoch > release.epoch) || !enforced!("release_wait")
@@ -249,10 +251,11 @@
         releases.iter().filter(is_released).copied().collect()
     }
 
-    fn take_grants(&mut self, grants: &[ShardGrant]) -> Vec<ShardGrant> {
+    /// Adds grants and returns those that were refused.
+    fn accept_grants(&mut self, grants: &[ShardGrant]) -> Vec<ShardGrant> {
         let mut refused = Vec::new();
         for grant in grants {
-            let floor = self.floors.get(&grant.shard).copied().unwrap_or_default();
+            let floor = self.epoch_floors.get(&grant.shard).copied().unwrap_or_default();
             let held_epoch = self.held.get(&grant.shard).map(|held| held.epoch);
             if grant.epoch <= floor {
                 refused.push(*grant);
@@ -264,8 +267,8 @@
         refused
     }
 
-    /// Extends the session from when the echoed nonce was issued.
-    fn extend(&mut self, order: &TargetOrder) {
+    /// Extends the lease, counted from when the echoed nonce was issued.
+    fn extend_lease(&mut self, order: &TargetOrder) {
         let Some(echo) = order.echo else { return };
         let Some((_, issued)) = self.nonces.iter().find(|(nonce, _)| *nonce == echo) else {
             return;
@@ -276,7 +279,7 @@
 
     fn drop_grant(&mut self, shard: ShardIndex) {
         if let Some(held) = self.held.remove(&shard) {
-            raise_floor(&mut self.floors, shard, held.epoch);
+            raise_floor(&mut self.epoch_floors, shard, held.epoch);
         }
     }
 
@@ -298,7 +301,7 @@
     fn issue_nonce(&mut self, now: Timestamp) -> Nonce {
         let nonce = self.next_nonce;
         self.next_nonce = nonce.next();
-        if self.nonces.len() == NONCES_KEPT {
+        if self.nonces.len() == MAX_RETAINED_NONCES {
             self.nonces.pop_front();
         }
         self.nonces.push_back((nonce, now));
