--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -37,7 +37,7 @@
         let settings = CoordinatorSettings {
             zone: Name::new("zone-a").unwrap(),
             vm,
-            times: LeaseTimings::default(),
+            timings: LeaseTimings::default(),
             max_standbys: 2,
             max_concurrent_moves: 64,
             seed: 1,
--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -25,7 +25,7 @@
     /// The VM and this life of its process.
     pub vm: VmIncarnation,
     /// The times that leases live by.
-    pub times: LeaseTimings,
+    pub timings: LeaseTimings,
     /// Most standbys that the mandate names.
     pub max_standbys: usize,
     /// Most shards of one service in planned moves at a time.
--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -247,7 +247,7 @@
         self.watch.base_version = self.watch.version;
         self.watch.must_resend = false;
         self.watch.sent_at = now;
-        self.watch.next_due = now + self.settings.times.renewal_interval;
+        self.watch.next_due = now + self.settings.timings.renewal_interval;
         self.actions.push(ZoneAction::WriteMandate(call, self.watch.version, object));
     }
 
@@ -291,7 +291,7 @@
     }
 
     fn renew_mandate(&mut self, now: Timestamp) {
-        let silent = now.since(self.watch.last_renewed_at) >= self.settings.times.detach_timeout;
+        let silent = now.since(self.watch.last_renewed_at) >= self.settings.timings.detach_timeout;
         if silent && self.advance_mandate(MandateEvent::PlatformTimedOut) {
             self.notify(ZoneNotice::Detached(self.term));
         }
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -197,7 +197,7 @@
         let renewals = if self.named_standby { 1 } else { 5 };
         self.coordinator_lost
             || now.since(self.last_announcement_at)
-                >= self.settings.times.renewal_interval * renewals
+                >= self.settings.timings.renewal_interval * renewals
     }
 
     /// Whether routers may be told of this VM's placements.
@@ -263,7 +263,7 @@
             ZoneEvent::TargetReplied(reply) => self.handle_reply(&reply, now),
             ZoneEvent::TargetFailed(target, sequence) => {
                 if let Some(session) = self.sessions.get_mut(&target) {
-                    session.record_failure(sequence, now, &self.settings.times);
+                    session.record_failure(sequence, now, &self.settings.timings);
                 }
             }
             ZoneEvent::PeerSeen(vm) => self.record_peer(vm, now),
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -25,9 +25,9 @@
                 ..Predecessor::default()
             });
         };
-        let times = &self.settings.times;
-        let still = now.since(self.watch.version_since) >= times.mandate_timeout;
-        let silent = now.since(self.last_announcement_at) >= times.mandate_timeout;
+        let timings = &self.settings.timings;
+        let still = now.since(self.watch.version_since) >= timings.mandate_timeout;
+        let silent = now.since(self.last_announcement_at) >= timings.mandate_timeout;
         if !still || !silent {
             return None;
         }
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -22,7 +22,7 @@
             return;
         };
         let before = session.phase;
-        let changes = session.apply_reply(reply, self.term, &self.settings.times, now);
+        let changes = session.apply_reply(reply, self.term, &self.settings.timings, now);
         if before != session.phase && session.phase == SessionPhase::Expiring {
             let name = session.name.clone();
             self.notify(ZoneNotice::TargetRestarted(name));
@@ -194,14 +194,14 @@
         if session.declared == TargetState::Gone {
             return true;
         }
-        let times = &self.settings.times;
+        let timings = &self.settings.timings;
         let own = now >= session.lease_upper_bound || !enforced!("lapse_wait");
         match session.phase {
             // The predecessor may go on extending it until it is known to be stopped.
             SessionPhase::New => {
                 let stopped_at = self.predecessor.stopped_at;
                 stopped_at
-                    .map_or(!enforced!("successor_wait"), |at| now >= times.lease_upper_bound(at))
+                    .map_or(!enforced!("successor_wait"), |at| now >= timings.lease_upper_bound(at))
             }
             _ => own,
         }
@@ -273,7 +273,7 @@
 
     pub(super) fn send_order(&mut self, target: TargetKey, now: Timestamp) {
         let may_sync = self.may_sync(now);
-        let times = self.settings.times;
+        let timings = self.settings.timings;
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
         };
@@ -282,12 +282,12 @@
         if session.declared == TargetState::Gone || !ready {
             return;
         }
-        let standing = if may_sync && session.needs_standing_grants(now, &times) {
+        let standing = if may_sync && session.needs_standing_grants(now, &timings) {
             Some(placement.map_or_else(Vec::new, |placement| placement.standing_grants(target)))
         } else {
             None
         };
-        if let Some(order) = session.poll(self.term, standing, &times, now) {
+        if let Some(order) = session.poll(self.term, standing, &timings, now) {
             self.actions.push(ZoneAction::SendOrder(order));
         }
     }
@@ -306,7 +306,8 @@
         let unheard = |session: &TargetSession| session.phase == SessionPhase::New;
         let all_fenced = !self.sessions.values().any(unheard);
         let stopped_at = self.predecessor.stopped_at;
-        all_fenced || stopped_at.is_some_and(|at| now >= self.settings.times.lease_upper_bound(at))
+        all_fenced
+            || stopped_at.is_some_and(|at| now >= self.settings.timings.lease_upper_bound(at))
     }
 
     /// Whether a target out of reach waits for word that the predecessor is stopped.
@@ -320,7 +321,8 @@
 
     /// Asks the predecessor to step down while a target is out of this VM's reach.
     pub(super) fn request_step_down(&mut self, now: Timestamp) {
-        let due = now.since(self.predecessor.requested_at) >= self.settings.times.renewal_interval;
+        let due =
+            now.since(self.predecessor.requested_at) >= self.settings.timings.renewal_interval;
         if !due || !self.awaits_predecessor_stop() {
             return;
         }
--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -131,8 +131,8 @@
     }
 
     /// Whether the list of standing grants is wanted for the next order.
-    pub(crate) fn needs_standing_grants(&self, now: Timestamp, times: &LeaseTimings) -> bool {
-        self.phase == SessionPhase::Fenced && !self.is_blocked(now, times)
+    pub(crate) fn needs_standing_grants(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
+        self.phase == SessionPhase::Fenced && !self.is_blocked(now, timings)
     }
 
     /// The next order, when one is due.
@@ -140,10 +140,10 @@
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimings,
+        timings: &LeaseTimings,
         now: Timestamp,
     ) -> Option<TargetOrder> {
-        if self.is_blocked(now, times) {
+        if self.is_blocked(now, timings) {
             return None;
         }
         self.sent = None;
@@ -151,13 +151,13 @@
         match self.phase {
             SessionPhase::Expiring => None,
             SessionPhase::New | SessionPhase::Lost if now >= self.next_due => {
-                Some(self.build_order(term, None, times, now))
+                Some(self.build_order(term, None, timings, now))
             }
             SessionPhase::Fenced if standing.is_some() => {
-                Some(self.build_order(term, standing, times, now))
+                Some(self.build_order(term, standing, timings, now))
             }
             SessionPhase::Live if now >= self.next_due || (changed && self.releases.is_empty()) => {
-                Some(self.build_order(term, None, times, now))
+                Some(self.build_order(term, None, timings, now))
             }
             _ => None,
         }
@@ -173,7 +173,7 @@
         &mut self,
         reply: &TargetReply,
         term: Term,
-        times: &LeaseTimings,
+        timings: &LeaseTimings,
         now: Timestamp,
     ) -> SessionChanges {
         let mut changes = SessionChanges::default();
@@ -192,7 +192,7 @@
                 changes
             }
             OrderOutcome::Accepted | OrderOutcome::Unsynced => {
-                self.apply_accepted(reply, sent, times, now, &mut changes);
+                self.apply_accepted(reply, sent, timings, now, &mut changes);
                 changes
             }
         }
@@ -203,10 +203,10 @@
         &mut self,
         sequence: Sequence,
         now: Timestamp,
-        times: &LeaseTimings,
+        timings: &LeaseTimings,
     ) {
         if self.sent.take_if(|sent| sent.sequence == sequence).is_some() {
-            self.retry_at = now + times.heartbeat_interval / 4;
+            self.retry_at = now + timings.heartbeat_interval / 4;
             self.next_due = self.retry_at;
         }
     }
@@ -215,7 +215,7 @@
         &mut self,
         reply: &TargetReply,
         sent: Option<SentOrder>,
-        times: &LeaseTimings,
+        timings: &LeaseTimings,
         now: Timestamp,
         changes: &mut SessionChanges,
     ) {
@@ -228,7 +228,7 @@
                 return;
             };
             self.incarnation = Some(reply.incarnation);
-            self.lease_upper_bound = self.lease_upper_bound.max(times.lease_upper_bound(now));
+            self.lease_upper_bound = self.lease_upper_bound.max(timings.lease_upper_bound(now));
             self.advance(SessionEvent::ContactAnswered);
             changes.fenced_with = Some(held);
         }
@@ -269,8 +269,8 @@
         }
     }
 
-    fn is_blocked(&self, now: Timestamp, times: &LeaseTimings) -> bool {
-        let late = |sent: &SentOrder| now >= sent.sent_at + times.order_timeout;
+    fn is_blocked(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
+        let late = |sent: &SentOrder| now >= sent.sent_at + timings.order_timeout;
         now < self.retry_at || self.sent.as_ref().is_some_and(|sent| !late(sent))
     }
 
@@ -278,15 +278,16 @@
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimings,
+        timings: &LeaseTimings,
         now: Timestamp,
     ) -> TargetOrder {
         self.sequence = self.sequence.next();
-        self.next_due = now + times.heartbeat_interval;
+        self.next_due = now + timings.heartbeat_interval;
         let contact = matches!(self.phase, SessionPhase::New | SessionPhase::Lost);
         let echo = if contact { None } else { self.nonce };
         if let Some((_, received)) = echo {
-            self.lease_upper_bound = self.lease_upper_bound.max(times.lease_upper_bound(received));
+            self.lease_upper_bound =
+                self.lease_upper_bound.max(timings.lease_upper_bound(received));
         }
         let order = TargetOrder {
             target: self.key,
@@ -294,7 +295,7 @@
             incarnation: if contact { None } else { self.incarnation },
             sequence: self.sequence,
             echo: echo.map(|(nonce, _)| nonce),
-            lease_ms: times.lease_duration.as_millis() as u64,
+            lease_ms: timings.lease_duration.as_millis() as u64,
             standing,
             grants: to_grants(&self.grants),
             releases: to_grants(&self.releases),
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -240,7 +240,7 @@
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm,
-            times: LeaseTimings::default(),
+            timings: LeaseTimings::default(),
             max_standbys: 2,
             max_concurrent_moves: 64,
             seed: 1,
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/world/mod.rs
@@ -54,7 +54,7 @@
     pub vms: Vec<VmNode>,
     pub targets: Vec<TargetNode>,
     pub platform: FakePlatform,
-    pub times: LeaseTimings,
+    pub timings: LeaseTimings,
     config: Arc<DeclaredConfig>,
     messages: Vec<Message>,
     /// Links that carry nothing: VM to target, and VM to VM.
@@ -75,7 +75,7 @@
             vms: Vec::new(),
             targets: Vec::new(),
             platform: FakePlatform::default(),
-            times: LeaseTimings::default(),
+            timings: LeaseTimings::default(),
             config: Arc::new(declare(targets, &[])),
             messages: Vec::new(),
             cut_targets: Vec::new(),
@@ -107,7 +107,7 @@
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm: vm.clone(),
-            times: self.times,
+            timings: self.timings,
             max_standbys: 2,
             max_concurrent_moves: 64,
             seed: self.lives,
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -253,7 +253,7 @@
     CoordinatorSettings {
         zone: settings.zone.clone(),
         vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
-        times: settings.lease.to_times(),
+        timings: settings.lease.to_times(),
         max_standbys: STANDBYS,
         max_concurrent_moves: MOVES,
         seed: incarnation.0,
