--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -12,7 +12,7 @@
 use crate::order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
 use crate::timings::LeaseTimings;
 
-/// How soon a target is asked again whether a release is done.
+/// Interval between orders that poll for the completion of a release.
 const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Debug)]
@@ -23,24 +23,24 @@
     standing: bool,
 }
 
-/// What an answer changed.
+/// State changes that a reply caused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SessionChanges {
-    /// The target has seen this higher term.
+    /// Higher term that the target has seen.
     pub(crate) superseded_by: Option<Term>,
-    /// The target answered its first contact and holds these grants.
+    /// Grants that the target held when it replied to the first contact.
     pub(crate) fenced_with: Option<Vec<ShardGrant>>,
-    /// The target took its list of standing grants.
+    /// Whether the target applied its list of standing grants.
     pub(crate) synced: bool,
-    /// Grants that the target took.
+    /// Grants that the target accepted.
     pub(crate) granted: Vec<ShardGrant>,
-    /// Grants that the target refused for a higher epoch.
+    /// Grants that the target refused because it has seen the same or a higher epoch.
     pub(crate) refused: Vec<ShardGrant>,
-    /// Shards that the target gave up.
+    /// Grants that the target released.
     pub(crate) released: Vec<ShardGrant>,
 }
 
-/// The lease between this coordinator and one target.
+/// A coordinator's lease-based session with one target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetSession {
     pub(crate) name: Name,
@@ -50,16 +50,16 @@
     pub(crate) declared: TargetState,
     pub(crate) phase: SessionPhase,
     pub(crate) leaving: bool,
-    /// Shards that count as this target's, in whatever phase.
+    /// Number of shards that have this target as their owner, in any phase.
     pub(crate) owned: u32,
-    /// No lease that this coordinator extended lasts longer, on this clock.
+    /// Latest time, on the local clock, at which a lease extended by this coordinator may end.
     pub(crate) lease_upper_bound: Timestamp,
     incarnation: Option<Incarnation>,
     nonce: Option<(Nonce, Timestamp)>,
     sequence: Sequence,
     sent: Option<SentOrder>,
     next_due: Timestamp,
-    /// No order goes out before this, whatever is pending: the last one failed.
+    /// Earliest time of the next order after a failed one.
     retry_at: Timestamp,
     grants: BTreeMap<ShardIndex, Epoch>,
     releases: BTreeMap<ShardIndex, Epoch>,
@@ -89,17 +89,17 @@
         }
     }
 
-    /// Whether the target may get new shards.
+    /// Returns whether shards may be assigned to the target.
     pub(crate) fn accepts_shards(&self) -> bool {
         self.phase == SessionPhase::Live && self.declared == TargetState::Active && !self.leaving
     }
 
-    /// Whether a grant that is kept may be offered: the session is live.
+    /// Returns whether a persisted grant may be sent to the target.
     pub(crate) fn accepts_grants(&self) -> bool {
         self.phase == SessionPhase::Live
     }
 
-    /// Whether the target is to lose its shards by planned moves.
+    /// Returns whether planned moves must take the target's shards away.
     pub(crate) fn is_draining(&self) -> bool {
         self.phase == SessionPhase::Live && (self.declared != TargetState::Active || self.leaving)
     }
@@ -108,19 +108,19 @@
         charts().session.advance(&mut self.phase, event)
     }
 
-    /// Offers a grant with the next order.
+    /// Adds a grant to the next order.
     pub(crate) fn queue_grant(&mut self, grant: ShardGrant) {
         self.releases.remove(&grant.shard);
         self.grants.insert(grant.shard, grant.epoch);
     }
 
-    /// Asks for a release with the next order.
+    /// Adds a release to the next order.
     pub(crate) fn queue_release(&mut self, grant: ShardGrant) {
         self.grants.remove(&grant.shard);
         self.releases.insert(grant.shard, grant.epoch);
     }
 
-    /// Notes that the lease is over: nothing is pending any more.
+    /// Ends the session and discards pending orders, grants and releases.
     pub(crate) fn expire(&mut self) {
         self.advance(SessionEvent::Expired);
         self.incarnation = None;
@@ -130,12 +130,12 @@
         self.releases.clear();
     }
 
-    /// Whether the list of standing grants is wanted for the next order.
+    /// Returns whether the next order needs the list of standing grants.
     pub(crate) fn needs_standing_grants(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
         self.phase == SessionPhase::Fenced && !self.is_blocked(now, timings)
     }
 
-    /// The next order, when one is due.
+    /// Returns the next order if one is due.
     pub(crate) fn poll(
         &mut self,
         term: Term,
@@ -163,12 +163,12 @@
         }
     }
 
-    /// Brings the next order forward.
-    pub(crate) fn schedule_order_by(&mut self, now: Timestamp) {
-        self.next_due = self.next_due.min(now);
+    /// Makes the next order due no later than `due`.
+    pub(crate) fn schedule_order_by(&mut self, due: Timestamp) {
+        self.next_due = self.next_due.min(due);
     }
 
-    /// Takes in an answer.
+    /// Applies a reply; a reply to an earlier order still updates the nonce and releases.
     pub(crate) fn apply_reply(
         &mut self,
         reply: &TargetReply,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Notes that an order got no answer.
+    /// Records that an order got no reply, and delays the next one.
     pub(crate) fn record_failure(
         &mut self,
         sequence: Sequence,
@@ -269,9 +269,10 @@
         }
     }
 
+    /// Returns whether an order is in flight or the delay after a failed one is not over.
     fn is_blocked(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
-        let late = |sent: &SentOrder| now >= sent.sent_at + timings.order_timeout;
-        now < self.retry_at || self.sent.as_ref().is_some_and(|sent| !late(sent))
+        let timed_out = |sent: &SentOrder| now >= sent.sent_at + timings.order_timeout;
+        now < self.retry_at || self.sent.as_ref().is_some_and(|sent| !timed_out(sent))
     }
 
     fn build_order(
