--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -240,7 +240,7 @@
 
     fn all_routes(&self) -> Vec<crate::RouteChange> {
         let routes = |placement: &ServicePlacement| {
-            placement.iter().map(|(shard, _)| placement.route(shard)).collect::<Vec<_>>()
+            placement.iter().map(|(shard, _)| placement.route_change(shard)).collect::<Vec<_>>()
         };
         self.placements.values().flat_map(routes).collect()
     }
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -76,11 +76,11 @@
             let Some(record) = placement.get_mut(shard) else {
                 continue;
             };
-            let before = record.route();
+            let before = record.published_owner();
             record.next = owner;
             record.expects_return = false;
-            if record.route() != before {
-                let route = placement.route(shard);
+            if record.published_owner() != before {
+                let route = placement.route_change(shard);
                 self.log.push(route);
             }
         }
@@ -155,7 +155,7 @@
             };
             record.next = Some(plan.to);
             let grant = ShardGrant { shard, epoch: record.epoch };
-            let route = placement.route(shard);
+            let route = placement.route_change(shard);
             self.log.push(route);
             if let Some(session) = self.sessions.get_mut(&from) {
                 session.queue_release(grant);
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -104,7 +104,7 @@
                 changed.push(shard);
             }
         }
-        let routes: Vec<_> = changed.iter().map(|shard| placement.route(*shard)).collect();
+        let routes: Vec<_> = changed.iter().map(|shard| placement.route_change(*shard)).collect();
         routes.into_iter().for_each(|route| self.log.push(route));
         self.recount_owned();
     }
@@ -129,7 +129,7 @@
         };
         let meant = record.owner == Some(target) && record.epoch == grant.epoch;
         if meant && placement.advance(grant.shard, event) {
-            let route = placement.route(grant.shard);
+            let route = placement.route_change(grant.shard);
             self.log.push(route);
         }
     }
@@ -154,7 +154,7 @@
         };
         placement.advance(grant.shard, event);
         session.owned = session.owned.saturating_sub(1);
-        let route = placement.route(grant.shard);
+        let route = placement.route_change(grant.shard);
         self.log.push(route);
     }
 
@@ -236,7 +236,7 @@
             if let Some(record) = placement.get_mut(*shard) {
                 record.expects_return = returns;
             }
-            let route = placement.route(*shard);
+            let route = placement.route_change(*shard);
             self.log.push(route);
         }
         Some(owned.len() as u32)
--- a/crates/nickellead_lease/src/shard.rs
+++ b/crates/nickellead_lease/src/shard.rs
@@ -1,4 +1,4 @@
-//! The shards of one service in one zone, as their coordinator sees them.
+//! A coordinator's state of one service's shards in its zone.
 
 use std::collections::BTreeMap;
 
@@ -18,17 +18,17 @@
     counts
 }
 
-/// One shard's ownership.
+/// Ownership of one shard.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShardRecord {
     pub(crate) phase: ShardPhase,
-    /// The owner; `None` while the shard is free.
+    /// Current owner; `None` while the shard is free.
     pub(crate) owner: Option<TargetKey>,
-    /// The epoch last granted to anyone.
+    /// Epoch of the latest grant to any target.
     pub(crate) epoch: Epoch,
-    /// The owner being written, or the one a planned move is meant for.
+    /// Target that a write or a planned move makes the next owner.
     pub(crate) next: Option<TargetKey>,
-    /// Whether its lost owner is expected back at once, so that routers hold requests for it.
+    /// Whether the lost owner is likely to return at once, so that routers hold requests.
     pub(crate) expects_return: bool,
 }
 
@@ -43,8 +43,8 @@
         }
     }
 
-    /// What routers are told of it.
-    pub(crate) fn route(&self) -> ShardOwner {
+    /// Returns the owner to publish to routers.
+    pub(crate) fn published_owner(&self) -> ShardOwner {
         match (self.phase, self.owner) {
             (ShardPhase::Serving, Some(target)) => ShardOwner::Target { target, epoch: self.epoch },
             (ShardPhase::Free, _) if self.next.is_none() && !self.expects_return => {
@@ -55,51 +55,51 @@
     }
 }
 
-/// A write of a placement whose fate is not yet known.
+/// A placement write that is not confirmed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub(crate) object: PlacementObject,
-    /// The shards whose new owner it makes known.
+    /// Shards whose next owner the write persists.
     ///
-    /// Empty once they are in force, be it by the standbys' records alone.
+    /// Empty once these owners are active, which the standbys' records alone can cause.
     pub(crate) planned: Vec<ShardIndex>,
 }
 
-/// How far the placement object is known.
+/// Progress of loading a placement object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementState {
-    /// It must be read.
+    /// The object must be read.
     Unread,
-    /// It was read; this coordinator's term must be written into it.
+    /// The object is read; this coordinator's term must be written into it.
     Claiming,
-    /// It carries this coordinator's term.
+    /// The object carries this coordinator's term.
     Claimed,
 }
 
-/// Placement of one service in this zone.
+/// Owners of one service's shards in this zone.
 #[derive(Clone, Debug)]
 pub(crate) struct ServicePlacement {
     pub(crate) name: Name,
     pub(crate) service: ServiceKey,
     pub(crate) first_shard: u32,
     shards: Vec<ShardRecord>,
-    /// How many shards are in each phase.
+    /// Number of shards in each phase.
     counts: [u32; PHASES],
-    /// Whether free shards or targets changed since owners were last chosen.
+    /// Whether free shards or targets changed since owners were last assigned.
     pub(crate) needs_assignment: bool,
     pub(crate) state: PlacementState,
     pub(crate) version: Version,
     pub(crate) write_id: u64,
     pub(crate) pending: Option<PendingWrite>,
-    /// Whether the platform's object lags behind the records.
+    /// Whether the stored object must be updated even if no owner is planned.
     pub(crate) dirty: bool,
-    /// Until when first owners wait for targets that were not heard yet.
+    /// Until when shards without an earlier owner wait for targets that have not replied.
     pub(crate) discovery_deadline: Timestamp,
-    /// Until when shards of targets that were all lost at once wait for these to return.
+    /// Until when shards of simultaneously expired targets wait for these to return.
     pub(crate) return_deadline: Timestamp,
-    /// Whether the object must be read to learn a write's fate.
+    /// Whether the object must be read to resolve an unconfirmed write.
     pub(crate) needs_read: bool,
-    /// No call of the platform for it before this: the last one failed.
+    /// Earliest time of the next platform call after a failed one.
     pub(crate) retry_at: Timestamp,
 }
 
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Moves a shard on by an event; tells whether its phase changed.
+    /// Applies an event to a shard, and returns whether the shard's phase changed.
     pub(crate) fn advance(&mut self, shard: ShardIndex, event: ShardEvent) -> bool {
         let Some(record) = self.get_mut(shard) else {
             return false;
@@ -143,17 +143,17 @@
         true
     }
 
-    /// How many shards are in a phase.
+    /// Returns the number of shards in a phase.
     pub(crate) const fn count(&self, phase: ShardPhase) -> u32 {
         self.counts[phase as usize]
     }
 
-    /// Whether every shard has an owner that serves it.
+    /// Returns whether every shard has an owner that serves it.
     pub(crate) const fn is_settled(&self) -> bool {
         self.count(ShardPhase::Serving) as usize == self.shards.len()
     }
 
-    /// How many shards are meant for each target, beside those it owns.
+    /// Counts, for each target, the shards of which it is to become the owner.
     pub(crate) fn planned_counts(&self) -> BTreeMap<TargetKey, u32> {
         let mut planned = BTreeMap::new();
         for record in &self.shards {
@@ -164,7 +164,7 @@
         planned
     }
 
-    /// How many shards each target owns.
+    /// Counts, for each target, the shards that it owns.
     pub(crate) fn owned_counts(&self) -> BTreeMap<TargetKey, u32> {
         let mut owned = BTreeMap::new();
         for owner in self.shards.iter().filter_map(|record| record.owner) {
@@ -183,21 +183,20 @@
         self.shards.get(index as usize)
     }
 
-    /// Every shard with its record.
+    /// Iterates over all shards and their records.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ShardIndex, &ShardRecord)> {
         let first = self.first_shard;
-        let number = move |index: usize| ShardIndex(first + index as u32);
-        self.shards.iter().enumerate().map(move |(index, record)| (number(index), record))
+        let shard_at = move |index: usize| ShardIndex(first + index as u32);
+        self.shards.iter().enumerate().map(move |(index, record)| (shard_at(index), record))
     }
 
-    /// The shards of which `wanted` holds.
-    pub(crate) fn shards_where(&self, wanted: impl Fn(&ShardRecord) -> bool) -> Vec<ShardIndex> {
-        self.iter().filter(|(_, record)| wanted(record)).map(|(shard, _)| shard).collect()
+    pub(crate) fn shards_where(&self, predicate: impl Fn(&ShardRecord) -> bool) -> Vec<ShardIndex> {
+        self.iter().filter(|(_, record)| predicate(record)).map(|(shard, _)| shard).collect()
     }
 
-    /// What a target may keep: its shards whose owner it surely is.
+    /// Returns the grants that a target may keep: shards that it serves or is releasing.
     pub(crate) fn standing_grants(&self, target: TargetKey) -> Vec<ShardGrant> {
-        let stands = |record: &ShardRecord| {
+        let is_standing = |record: &ShardRecord| {
             record.owner == Some(target)
                 && matches!(record.phase, ShardPhase::Serving | ShardPhase::Releasing)
         };
@@ -205,27 +204,28 @@
             shard,
             epoch: self.get(shard).map_or(Epoch::ZERO, |record| record.epoch),
         };
-        self.shards_where(stands).into_iter().map(grant).collect()
+        self.shards_where(is_standing).into_iter().map(grant).collect()
     }
 
-    /// What routers are told of one shard.
-    pub(crate) fn route(&self, shard: ShardIndex) -> RouteChange {
-        let owner = self.get(shard).map_or(ShardOwner::Unowned, ShardRecord::route);
+    /// Returns the change to publish to routers for one shard.
+    pub(crate) fn route_change(&self, shard: ShardIndex) -> RouteChange {
+        let owner = self.get(shard).map_or(ShardOwner::Unowned, ShardRecord::published_owner);
         RouteChange { service: self.service, shard, owner }
     }
 
-    /// Takes over what the platform's object says.
+    /// Loads the owners from a stored object.
     pub(crate) fn load_object(&mut self, object: &PlacementObject, version: Version) {
         self.version = version;
         let targets: Vec<TargetKey> = object.targets.iter().map(TargetKey::from).collect();
         for (index, PlacementOwner(number, epoch)) in object.owners.iter().enumerate() {
             let shard = ShardIndex(object.first_shard + index as u32);
+            // 0 stands for no owner; it wraps around to an index out of range.
             let owner = targets.get((*number as usize).wrapping_sub(1)).copied();
             self.set_loaded_owner(shard, owner, *epoch);
         }
     }
 
-    /// Takes over one shard's owner, as the last coordinator left it.
+    /// Replaces one shard's state by an owner and epoch that an earlier coordinator granted.
     pub(crate) fn set_loaded_owner(
         &mut self,
         shard: ShardIndex,
@@ -246,7 +246,7 @@
         }
     }
 
-    /// The object as it is to be written now, with the planned owners in it.
+    /// Builds the object to write, with planned owners in place of current ones.
     pub(crate) fn to_object(
         &self,
         term: Term,
