--- a/crates/nickellead_lease/src/coordinator/event.rs
+++ b/crates/nickellead_lease/src/coordinator/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a coordinator, and what it wants done.
+//! Events and actions of a [`ZoneCoordinator`](super::ZoneCoordinator).
 
 use std::sync::Arc;
 
@@ -13,168 +13,168 @@
 use crate::order::{TargetOrder, TargetReply};
 use crate::timings::LeaseTimings;
 
-/// Number of one call of the platform; an answer to a forgotten call is dropped.
+/// Identifies a platform call; outcomes of calls that are no longer pending are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What a VM needs to know to take part.
+/// Settings of a VM's zone coordinator.
 #[derive(Clone, Debug)]
 pub struct CoordinatorSettings {
     /// The VM's availability zone.
     pub zone: Name,
-    /// The VM and this life of its process.
+    /// The VM and the incarnation of its process.
     pub vm: VmIncarnation,
-    /// The times that leases live by.
+    /// Intervals and timeouts of leases.
     pub timings: LeaseTimings,
-    /// Most standbys that the mandate names.
+    /// Maximum number of standbys that the mandate names.
     pub max_standbys: usize,
-    /// Most shards of one service in planned moves at a time.
+    /// Maximum number of one service's shards in planned moves at a time.
     pub max_concurrent_moves: usize,
-    /// Seed of the jitter.
+    /// Seed of the jitter of mandate reads.
     pub seed: u64,
 }
 
-/// One new owner, as the standbys keep it while the platform is out of reach.
+/// Record of a new owner that standbys store while the platform is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ShardRecordEntry {
-    /// The service.
+    /// Service that the shard belongs to.
     pub service: ServiceKey,
-    /// The shard.
+    /// Index of the shard within the service.
     pub shard: ShardIndex,
-    /// Its new owner.
+    /// New owner.
     pub target: TargetKey,
-    /// The new epoch.
+    /// Epoch of the new owner's grant.
     pub epoch: Epoch,
 }
 
-/// New owners that a detached coordinator asks its standbys to keep.
+/// Ownership records that a detached coordinator replicates to its standbys.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RecordBatch {
     /// Term of the coordinator.
     pub term: Term,
-    /// Number of the batch within the term.
+    /// Sequence number of the batch within the term.
     pub number: u64,
-    /// The new owners.
+    /// Records to store.
     pub entries: Vec<ShardRecordEntry>,
 }
 
-/// A standby's answer to a [`RecordBatch`].
+/// A standby's response to a [`RecordBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RecordResponse {
     /// Name of the standby.
     pub vm: Name,
-    /// The life of its process.
+    /// Incarnation of the standby's process.
     pub incarnation: Incarnation,
     /// Highest term that the standby knows.
     pub term: Term,
-    /// The batch.
+    /// Sequence number of the batch.
     pub number: u64,
-    /// Whether the standby keeps it and had not begun to take the mandate.
-    pub kept: bool,
+    /// Whether the standby stored the batch; false once it has begun to acquire the mandate.
+    pub stored: bool,
 }
 
-/// What reaches a coordinator.
+/// Input of a coordinator.
 #[derive(Clone, Debug)]
 pub enum ZoneEvent {
-    /// Time went on.
+    /// Periodic tick that drives timers.
     Tick,
     /// The declarations changed, or were read for the first time.
     ConfigChanged(Arc<DeclaredConfig>),
-    /// Answer to a read of the mandate.
+    /// Outcome of a mandate read.
     MandateRead(CallId, ReadOutcome<MandateObject>),
-    /// Answer to a write of the mandate.
+    /// Outcome of a mandate write.
     MandateWritten(CallId, WriteOutcome),
-    /// Answer to a read of a placement.
+    /// Outcome of a placement read.
     PlacementRead(CallId, ServiceKey, ReadOutcome<PlacementObject>),
-    /// Answer to a write of a placement.
+    /// Outcome of a placement write.
     PlacementWritten(CallId, ServiceKey, WriteOutcome),
     /// The platform's list of live and leaving VMs.
     VmsListed(Vec<Name>),
-    /// A target answered.
+    /// A target replied to an order.
     TargetReplied(TargetReply),
-    /// A target did not answer an order.
+    /// An order failed or got no reply.
     TargetFailed(TargetKey, Sequence),
-    /// A VM of this zone was heard.
+    /// A message of a VM of this zone arrived.
     PeerSeen(VmIncarnation),
-    /// The zone's coordinator was heard, and whether it names this VM as a standby.
+    /// The zone's coordinator announced its term, and whether this VM is one of its standbys.
     CoordinatorAnnounced(Term, bool),
-    /// The coordinator that was followed says that it coordinates no more, or its stream broke.
+    /// The coordinator announced that it stopped coordinating, or its stream broke.
     CoordinatorLost,
-    /// A detached coordinator asks this VM to keep new owners.
+    /// A detached coordinator requests this VM to store records of new owners.
     RecordBatchReceived(RecordBatch),
-    /// A standby answered a batch.
+    /// A standby responded to a batch.
     RecordResponseReceived(RecordResponse),
-    /// A VM with this term asks this one to coordinate no more.
+    /// A successor with this term requests this VM to stop coordinating.
     StepDownRequested(Term),
-    /// The former coordinator has stepped down.
+    /// The predecessor confirmed to the holder of this term that it stopped coordinating.
     StepDownConfirmed(Term),
-    /// The process is to stop.
+    /// The process is shutting down.
     StopRequested,
 }
 
-/// What a coordinator wants done.
+/// Side effect that a coordinator requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneAction {
-    /// Read the mandate.
+    /// Reads the mandate.
     ReadMandate(CallId),
-    /// Write the mandate if it has the expected version; 0 means absent.
+    /// Writes the mandate if it has the expected version; 0 means absent.
     WriteMandate(CallId, Version, MandateObject),
-    /// Read a placement.
+    /// Reads a placement.
     ReadPlacement(CallId, ServiceKey, Name),
-    /// Write a placement if it has the expected version; 0 means absent.
+    /// Writes a placement if it has the expected version; 0 means absent.
     WritePlacement(CallId, ServiceKey, Name, Version, PlacementObject),
-    /// Send an order to a target.
+    /// Sends an order to a target.
     SendOrder(TargetOrder),
-    /// Ask a standby to keep new owners.
+    /// Sends records of new owners to a standby.
     SendRecordBatch(VmIncarnation, RecordBatch),
-    /// Answer the coordinator that asked to keep new owners.
+    /// Responds to the coordinator that sent a record batch.
     SendRecordResponse(RecordResponse),
-    /// Ask the former coordinator to step down.
+    /// Requests the predecessor to step down.
     RequestStepDown(VmIncarnation, Term),
-    /// Tell the asking VM that this one coordinates no more.
+    /// Confirms to the requesting VM that this one no longer coordinates.
     ConfirmStepDown(Term),
-    /// Log a notice.
+    /// Logs a notice.
     Notify(ZoneNotice),
 }
 
-/// What an operator should read in the log.
+/// Event to be logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneNotice {
-    /// This VM took the mandate.
+    /// This VM acquired the mandate.
     MandateAcquired(Term),
-    /// This VM coordinates.
+    /// This VM coordinates the zone.
     Leading(Term),
-    /// A higher term was seen.
+    /// This VM has seen the given higher term and stopped coordinating.
     Superseded(Term),
-    /// The platform is silent; coordination goes on without it.
+    /// The platform is unavailable; coordination continues without it.
     Detached(Term),
-    /// The platform answered again.
+    /// The platform is available again.
     Attached(Term),
-    /// The mandate was handed over.
+    /// This VM released the mandate.
     HandedOver(Term),
-    /// A target answered and is fenced.
+    /// A target replied and no longer obeys lower terms.
     TargetFenced(Name),
     /// A target's session is live.
     TargetLive(Name),
-    /// A target answered as another process.
+    /// A target replied with another incarnation.
     TargetRestarted(Name),
-    /// A target's lease has surely expired: it lost this many shards.
+    /// A target's lease expired, and the target lost this many shards.
     TargetLost(Name, u32),
-    /// A planned move of this many shards began.
+    /// A planned move of this many shards of a service began.
     MovesStarted(Name, u32),
-    /// New owners are in force: service, count, and whether by records only.
+    /// New owners are active: service, count, and whether only standbys store them.
     OwnersCommitted(Name, u32, bool),
 }
 
-/// What an operator may ask of one target.
+/// Status of one target, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetStatus {
     /// Name of the target.
     pub name: Name,
-    /// Phase of its session.
+    /// Phase of the target's session.
     pub phase: crate::SessionPhase,
-    /// Shards it owns.
+    /// Number of shards that the target owns.
     pub shards: u32,
-    /// Whether it leaves.
+    /// Whether the target has asked to have its shards moved away.
     pub leaving: bool,
 }
--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -1,4 +1,4 @@
-//! Reading the zone's placements and writing this coordinator's term into them.
+//! Loads the zone's placements and claims them by writing this coordinator's term.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::shard::{PendingWrite, PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
-/// Pause of the calls for one placement after one of them failed.
+/// Delay of a placement's next platform call after a failed one.
 const CALL_BACKOFF: Duration = Duration::from_millis(200);
 
 impl ZoneCoordinator {
-    /// Starts a term: nothing of an earlier one is kept but the records.
+    /// Starts a term and discards all state of earlier ones except stored records.
     pub(super) fn begin_loading(&mut self) {
         self.sessions.clear();
         self.placements.clear();
@@ -26,7 +26,7 @@
         self.reconcile_config();
     }
 
-    /// Brings sessions and placements in line with what is declared.
+    /// Reconciles sessions and placements with the declared configuration.
     pub(super) fn reconcile_config(&mut self) {
         let Some(config) = self.config.clone() else {
             return;
@@ -58,18 +58,18 @@
         self.retire_undeclared(&config);
     }
 
-    /// Reads every placement that is not loaded yet, and notes when all are.
+    /// Reads every placement that is not loaded, and starts leading once all are claimed.
     pub(super) fn load_placements(&mut self, now: Timestamp) {
-        let unread = |placement: &&ServicePlacement| {
+        let is_unread = |placement: &&ServicePlacement| {
             placement.state == PlacementState::Unread && now >= placement.retry_at
         };
-        let wanted: Vec<(ServiceKey, Name)> = self
+        let unread: Vec<(ServiceKey, Name)> = self
             .placements
             .values()
-            .filter(unread)
+            .filter(is_unread)
             .map(|placement| (placement.service, placement.name.clone()))
             .collect();
-        for (service, name) in wanted {
+        for (service, name) in unread {
             if !self.calls.contains_key(&service) {
                 self.read_placement(service, name, now);
             }
@@ -85,14 +85,14 @@
         &mut self,
         call: CallId,
         service: ServiceKey,
-        answer: ReadOutcome<PlacementObject>,
+        outcome: ReadOutcome<PlacementObject>,
         now: Timestamp,
     ) {
         if self.calls.get(&service).is_none_or(|known| known.id != call) {
             return;
         }
         self.calls.remove(&service);
-        match answer {
+        match outcome {
             ReadOutcome::Failed => self.back_off_calls(service, now),
             ReadOutcome::Absent => {
                 self.apply_placement(service, &PlacementObject::default(), Version::ZERO)
@@ -105,17 +105,17 @@
         }
     }
 
-    /// Gives up calls that were never answered, as if they had failed.
+    /// Treats calls without a response by their deadline as failed.
     pub(super) fn time_out_calls(&mut self, now: Timestamp) {
-        let late = self.calls.iter().filter(|(_, call)| now >= call.deadline);
-        let late: Vec<ServiceKey> = late.map(|(service, _)| *service).collect();
-        for service in late {
+        let timed_out = self.calls.iter().filter(|(_, call)| now >= call.deadline);
+        let timed_out: Vec<ServiceKey> = timed_out.map(|(service, _)| *service).collect();
+        for service in timed_out {
             self.calls.remove(&service);
             self.back_off_calls(service, now);
         }
     }
 
-    /// Leaves the platform alone for a while after a call that failed.
+    /// Delays the placement's next call after a failed one.
     pub(super) fn back_off_calls(&mut self, service: ServiceKey, now: Timestamp) {
         if let Some(placement) = self.placements.get_mut(&service) {
             placement.retry_at = now + CALL_BACKOFF;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Uses an object that was read: as the state to start from, or to learn a write's fate.
+    /// Applies an object that was read, as initial state or to resolve an unconfirmed write.
     fn apply_placement(&mut self, service: ServiceKey, object: &PlacementObject, version: Version) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
@@ -154,7 +154,7 @@
         self.recount_owned();
     }
 
-    /// Learns from a read what became of the pending write.
+    /// Commits the pending write if a read shows that it took effect.
     fn resolve_pending_write(
         &mut self,
         service: ServiceKey,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Writes what is planned or dirty, one write at a time for each placement.
+    /// Writes planned owners and dirty placements, one write at a time for each placement.
     pub(super) fn write_placements(&mut self, now: Timestamp) {
         let services: Vec<ServiceKey> = self.placements.keys().copied().collect();
         for service in services {
@@ -213,16 +213,16 @@
         self.actions.push(ZoneAction::ReadPlacement(id, service, name));
     }
 
-    /// Makes the next write of a placement from the shards whose next owner is chosen.
+    /// Prepares the next write of a placement, with the shards that have a next owner.
     fn prepare_write(&mut self, service: ServiceKey) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        let undecided = placement.pending.as_ref().is_some_and(|write| !write.planned.is_empty());
-        if undecided || placement.state == PlacementState::Unread {
+        let uncommitted = placement.pending.as_ref().is_some_and(|write| !write.planned.is_empty());
+        if uncommitted || placement.state == PlacementState::Unread {
             return;
         }
-        let planned = choose_planned(placement);
+        let planned = planned_shards(placement);
         if planned.is_empty() && (!placement.dirty || placement.pending.is_some()) {
             return;
         }
@@ -239,8 +239,8 @@
     }
 }
 
-/// The free shards that may be written: none before this term stands in the object.
-fn choose_planned(placement: &ServicePlacement) -> Vec<ShardIndex> {
+/// Returns the free shards to write; none until the object carries this coordinator's term.
+fn planned_shards(placement: &ServicePlacement) -> Vec<ShardIndex> {
     if placement.state != PlacementState::Claimed || placement.count(ShardPhase::Free) == 0 {
         return Vec::new();
     }
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -100,7 +100,7 @@
             self.observe_term(answer.term);
         }
         let Some(round) = &mut self.record_round else { return };
-        if answer.number != round.batch.number || answer.term > round.batch.term || !answer.kept {
+        if answer.number != round.batch.number || answer.term > round.batch.term || !answer.stored {
             return;
         }
         let vm = VmIncarnation { vm: answer.vm.clone(), incarnation: answer.incarnation };
@@ -111,8 +111,8 @@
     /// Keeps new owners for a detached coordinator, unless this VM began to take over.
     pub(super) fn store_records(&mut self, batch: &RecordBatch, now: Timestamp) {
         let follows = self.phase == MandatePhase::Follower && batch.term >= self.highest_term;
-        let kept = follows || !enforced!("record_promise");
-        if kept {
+        let stored = follows || !enforced!("record_promise");
+        if stored {
             self.handle_announcement(batch.term, now);
             for entry in &batch.entries {
                 let key = (entry.service, entry.shard);
@@ -128,7 +128,7 @@
             incarnation: self.settings.vm.incarnation,
             term: self.highest_term.max(batch.term),
             number: batch.number,
-            kept,
+            stored,
         };
         self.actions.push(ZoneAction::SendRecordResponse(answer));
     }
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -301,7 +301,7 @@
 fn is_kept(actions: &[ZoneAction]) -> bool {
     actions
         .iter()
-        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.kept))
+        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.stored))
 }
 
 #[test]
