--- a/crates/nickellead_lease/src/coordinator/loading.rs
+++ b/crates/nickellead_lease/src/coordinator/loading.rs
@@ -1,32 +1,32 @@
-//! Reading the zone's placements and writing this coordinator's term into them.
+//! Loads the zone's placements and claims them by writing this coordinator's term.
 
 use std::time::Duration;
 
 use nickellead_core::{Name, ServiceKey, ShardIndex, TargetKey, Timestamp, Version};
 
-use super::mandate_lease::CALL_LIMIT;
+use super::mandate_lease::CALL_TIMEOUT;
 use super::{CallId, PlacementCall, ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandateEvent, MandatePhase, ShardEvent, ShardPhase};
 use crate::object::{PlacementObject, ReadOutcome};
 use crate::session::TargetSession;
-use crate::shard::{LoadState, PendingWrite, ServicePlacement};
+use crate::shard::{PendingWrite, PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
-/// Pause of the calls for one placement after one of them failed.
-const CALL_PAUSE: Duration = Duration::from_millis(200);
+/// Delay of a placement's next platform call after a failed one.
+const CALL_BACKOFF: Duration = Duration::from_millis(200);
 
 impl ZoneCoordinator {
-    /// Starts a term: nothing of an earlier one is kept but the records.
+    /// Starts a term and discards all state of earlier ones except stored records.
     pub(super) fn begin_loading(&mut self) {
         self.sessions.clear();
         self.placements.clear();
         self.calls.clear();
-        self.round = None;
+        self.record_round = None;
         self.log.restart(self.term);
         self.reconcile_config();
     }
 
-    /// Brings sessions and placements in line with what is declared.
+    /// Reconciles sessions and placements with the declared configuration.
     pub(super) fn reconcile_config(&mut self) {
         let Some(config) = self.config.clone() else {
             return;
@@ -58,81 +58,81 @@
         self.retire_undeclared(&config);
     }
 
-    /// Reads every placement that is not loaded yet, and notes when all are.
+    /// Reads every placement that is not loaded, and starts leading once all are claimed.
     pub(super) fn load_placements(&mut self, now: Timestamp) {
-        let unread = |placement: &&ServicePlacement| {
-            placement.load == LoadState::Unread && now >= placement.not_before
+        let is_unread = |placement: &&ServicePlacement| {
+            placement.state == PlacementState::Unread && now >= placement.retry_at
         };
-        let wanted: Vec<(ServiceKey, Name)> = self
+        let unread: Vec<(ServiceKey, Name)> = self
             .placements
             .values()
-            .filter(unread)
+            .filter(is_unread)
             .map(|placement| (placement.service, placement.name.clone()))
             .collect();
-        for (service, name) in wanted {
+        for (service, name) in unread {
             if !self.calls.contains_key(&service) {
                 self.read_placement(service, name, now);
             }
         }
-        let claimed = |placement: &ServicePlacement| placement.load == LoadState::Claimed;
+        let claimed = |placement: &ServicePlacement| placement.state == PlacementState::Claimed;
         if self.phase == MandatePhase::Loading && self.placements.values().all(claimed) {
             self.advance_mandate(MandateEvent::Loaded);
             self.notify(ZoneNotice::Leading(self.term));
         }
     }
 
-    pub(super) fn note_placement_read(
+    pub(super) fn handle_placement_read(
         &mut self,
         call: CallId,
         service: ServiceKey,
-        answer: ReadOutcome<PlacementObject>,
+        outcome: ReadOutcome<PlacementObject>,
         now: Timestamp,
     ) {
         if self.calls.get(&service).is_none_or(|known| known.id != call) {
             return;
         }
         self.calls.remove(&service);
-        match answer {
-            ReadOutcome::Failed => self.pause_calls(service, now),
+        match outcome {
+            ReadOutcome::Failed => self.back_off_calls(service, now),
             ReadOutcome::Absent => {
-                self.take_placement(service, &PlacementObject::default(), Version::ZERO)
+                self.apply_placement(service, &PlacementObject::default(), Version::ZERO)
             }
             ReadOutcome::Found(object, version) if object.term > self.term => {
                 debug_assert!(version > Version::ZERO);
-                self.see_term(object.term);
+                self.observe_term(object.term);
             }
-            ReadOutcome::Found(object, version) => self.take_placement(service, &object, version),
+            ReadOutcome::Found(object, version) => self.apply_placement(service, &object, version),
         }
     }
 
-    /// Gives up calls that were never answered, as if they had failed.
-    pub(super) fn end_late_calls(&mut self, now: Timestamp) {
-        let late = self.calls.iter().filter(|(_, call)| now >= call.ends);
-        let late: Vec<ServiceKey> = late.map(|(service, _)| *service).collect();
-        for service in late {
+    /// Treats calls without a response by their deadline as failed.
+    pub(super) fn time_out_calls(&mut self, now: Timestamp) {
+        let timed_out = self.calls.iter().filter(|(_, call)| now >= call.deadline);
+        let timed_out: Vec<ServiceKey> = timed_out.map(|(service, _)| *service).collect();
+        for service in timed_out {
             self.calls.remove(&service);
-            self.pause_calls(service, now);
+            self.back_off_calls(service, now);
         }
     }
 
-    /// Leaves the platform alone for a while after a call that failed.
-    pub(super) fn pause_calls(&mut self, service: ServiceKey, now: Timestamp) {
+    /// Delays the placement's next call after a failed one.
+    pub(super) fn back_off_calls(&mut self, service: ServiceKey, now: Timestamp) {
         if let Some(placement) = self.placements.get_mut(&service) {
-            placement.not_before = now + CALL_PAUSE;
-            placement.reread |= placement.pending.is_some();
+            placement.retry_at = now + CALL_BACKOFF;
+            placement.needs_read |= placement.pending.is_some();
         }
     }
 
-    /// Uses an object that was read: as the state to start from, or to learn a write's fate.
-    fn take_placement(&mut self, service: ServiceKey, object: &PlacementObject, version: Version) {
+    /// Applies an object that was read, as initial state or to resolve an unconfirmed write.
+    fn apply_placement(&mut self, service: ServiceKey, object: &PlacementObject, version: Version) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
         if version < placement.version && enforced!("version_monotonic") {
             return;
         }
-        if placement.load == LoadState::Claimed {
-            self.settle_placement(service, object, version);
+        if placement.state == PlacementState::Claimed {
+            self.resolve_pending_write(service, object, version);
             return;
         }
         placement.load_object(object, version);
@@ -142,17 +142,20 @@
         for ((_, shard), (target, epoch)) in entries {
             let newer = placement.get(shard).is_some_and(|record| record.epoch < epoch);
             if newer && enforced!("record_merge") {
-                placement.load_owner(shard, Some(target), epoch);
+                placement.set_loaded_owner(shard, Some(target), epoch);
             }
         }
-        placement.load =
-            if enforced!("claim_first") { LoadState::Claiming } else { LoadState::Claimed };
+        placement.state = if enforced!("claim_first") {
+            PlacementState::Claiming
+        } else {
+            PlacementState::Claimed
+        };
         placement.dirty = enforced!("claim_first");
         self.recount_owned();
     }
 
-    /// Learns from a read what became of the pending write.
-    fn settle_placement(
+    /// Commits the pending write if a read shows that it took effect.
+    fn resolve_pending_write(
         &mut self,
         service: ServiceKey,
         object: &PlacementObject,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Writes what is planned or dirty, one write at a time for each placement.
+    /// Writes planned owners and dirty placements, one write at a time for each placement.
     pub(super) fn write_placements(&mut self, now: Timestamp) {
         let services: Vec<ServiceKey> = self.placements.keys().copied().collect();
         for service in services {
@@ -183,10 +186,10 @@
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        if placement.load == LoadState::Unread || now < placement.not_before {
+        if placement.state == PlacementState::Unread || now < placement.retry_at {
             return;
         }
-        if std::mem::take(&mut placement.reread) {
+        if std::mem::take(&mut placement.needs_read) {
             let name = placement.name.clone();
             self.read_placement(service, name, now);
             return;
@@ -199,27 +202,27 @@
         let id = self.next_call();
         self.calls.insert(
             service,
-            PlacementCall { id, write_id: object.write_id, ends: now + CALL_LIMIT },
+            PlacementCall { id, write_id: object.write_id, deadline: now + CALL_TIMEOUT },
         );
         self.actions.push(ZoneAction::WritePlacement(id, service, name, version, object));
     }
 
     fn read_placement(&mut self, service: ServiceKey, name: Name, now: Timestamp) {
         let id = self.next_call();
-        self.calls.insert(service, PlacementCall { id, write_id: 0, ends: now + CALL_LIMIT });
+        self.calls.insert(service, PlacementCall { id, write_id: 0, deadline: now + CALL_TIMEOUT });
         self.actions.push(ZoneAction::ReadPlacement(id, service, name));
     }
 
-    /// Makes the next write of a placement from the shards whose next owner is chosen.
+    /// Prepares the next write of a placement, with the shards that have a next owner.
     fn prepare_write(&mut self, service: ServiceKey) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        let undecided = placement.pending.as_ref().is_some_and(|write| !write.planned.is_empty());
-        if undecided || placement.load == LoadState::Unread {
+        let uncommitted = placement.pending.as_ref().is_some_and(|write| !write.planned.is_empty());
+        if uncommitted || placement.state == PlacementState::Unread {
             return;
         }
-        let planned = choose_planned(placement);
+        let planned = planned_shards(placement);
         if planned.is_empty() && (!placement.dirty || placement.pending.is_some()) {
             return;
         }
@@ -236,12 +239,12 @@
     }
 }
 
-/// The free shards that may be written: none before this term stands in the object.
-fn choose_planned(placement: &ServicePlacement) -> Vec<ShardIndex> {
-    if placement.load != LoadState::Claimed || placement.count(ShardPhase::Free) == 0 {
+/// Returns the free shards to write; none until the object carries this coordinator's term.
+fn planned_shards(placement: &ServicePlacement) -> Vec<ShardIndex> {
+    if placement.state != PlacementState::Claimed || placement.count(ShardPhase::Free) == 0 {
         return Vec::new();
     }
-    placement.select(|record| record.phase == ShardPhase::Free && record.next.is_some())
+    placement.shards_where(|record| record.phase == ShardPhase::Free && record.next.is_some())
 }
 
 fn record_range(service: ServiceKey) -> std::ops::RangeInclusive<(ServiceKey, ShardIndex)> {
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -11,27 +11,27 @@
 use crate::object::WriteOutcome;
 use crate::order::ShardGrant;
 use crate::session::TargetSession;
-use crate::shard::{LoadState, PendingWrite};
+use crate::shard::{PendingWrite, PlacementState};
 
 /// Between two looks at the balance of load.
-const REBALANCE_PERIOD: Duration = Duration::from_millis(100);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long shards wait for targets that were not heard yet: first ones, and those of targets that
 /// were all lost at once. A live target answers within one heartbeat, 0.4 s.
-pub(super) const GATHER_WAIT: Duration = Duration::from_millis(500);
+pub(super) const TARGET_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ZoneCoordinator {
     pub(super) fn plan(&mut self, now: Timestamp) {
         if !self.may_plan() {
             return;
         }
-        self.ask_predecessor(now);
+        self.request_step_down(now);
         let services: Vec<ServiceKey> = self.placements.keys().copied().collect();
         for service in &services {
             self.plan_owners(*service, now);
         }
-        if now >= self.next_rebalance && !self.stop_wanted {
-            self.next_rebalance = now + REBALANCE_PERIOD;
+        if now >= self.next_rebalance && !self.stop_requested {
+            self.next_rebalance = now + REBALANCE_INTERVAL;
             for service in services {
                 self.plan_service_moves(service, now);
             }
@@ -40,18 +40,18 @@
 
     /// Chooses an owner for each free shard that has none in view.
     fn plan_owners(&mut self, service: ServiceKey, now: Timestamp) {
-        let gathers = self.gathers_targets(service, now);
-        let returns = self.awaits_lost_targets(service, now);
+        let gathers = self.awaits_first_contact(service, now);
+        let returns = self.awaits_expired_targets(service, now);
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        let idle = placement.count(ShardPhase::Free) == 0 || !placement.attention;
-        if placement.load != LoadState::Claimed || idle {
+        let idle = placement.count(ShardPhase::Free) == 0 || !placement.needs_assignment;
+        if placement.state != PlacementState::Claimed || idle {
             return;
         }
-        placement.attention = gathers || returns;
-        let planned = placement.planned_for();
-        let mut loads = self.loads(service, TargetSession::takes_shards);
+        placement.needs_assignment = gathers || returns;
+        let planned = placement.planned_counts();
+        let mut loads = self.loads(service, TargetSession::accepts_shards);
         for load in &mut loads {
             load.shards += planned.get(&load.target).copied().unwrap_or(0);
         }
@@ -60,8 +60,8 @@
             return;
         };
         let takes =
-            |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::takes_shards);
-        let wanting = placement.select(|record| {
+            |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::accepts_shards);
+        let wanting = placement.shards_where(|record| {
             let first = record.epoch == Epoch::ZERO;
             record.phase == ShardPhase::Free
                 && !(first && gathers || returns)
@@ -76,11 +76,11 @@
             let Some(record) = placement.get_mut(shard) else {
                 continue;
             };
-            let before = record.route();
+            let before = record.published_owner();
             record.next = owner;
-            record.awaited = false;
-            if record.route() != before {
-                let route = placement.route(shard);
+            record.expects_return = false;
+            if record.published_owner() != before {
+                let route = placement.route_change(shard);
                 self.log.push(route);
             }
         }
@@ -89,8 +89,9 @@
     /// Whether shards that never had an owner wait for targets that were not heard yet.
     ///
     /// Else the first target to answer would get them all, and give most away again.
-    fn gathers_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
-        let early = self.placements.get(&service).is_some_and(|known| now < known.gather_until);
+    fn awaits_first_contact(&self, service: ServiceKey, now: Timestamp) -> bool {
+        let early =
+            self.placements.get(&service).is_some_and(|known| now < known.discovery_deadline);
         let expected = |session: &TargetSession| {
             let unheard = matches!(session.phase, SessionPhase::New | SessionPhase::Fenced);
             session.service == service && session.declared == TargetState::Active && unheard
@@ -99,8 +100,8 @@
     }
 
     /// Whether shards wait for targets that were all lost at once.
-    fn awaits_lost_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
-        let early = self.placements.get(&service).is_some_and(|known| now < known.return_until);
+    fn awaits_expired_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
+        let early = self.placements.get(&service).is_some_and(|known| now < known.return_deadline);
         let away = |session: &TargetSession| {
             let unheard = matches!(session.phase, SessionPhase::Lost | SessionPhase::Fenced);
             session.service == service && session.declared == TargetState::Active && unheard
@@ -112,22 +113,22 @@
     fn plan_service_moves(&mut self, service: ServiceKey, now: Timestamp) {
         // A detached coordinator moves shards only where targets leave.
         let rebalances = self.phase == MandatePhase::Leading;
-        let leaving = self.loads(service, TargetSession::gives_shards);
+        let leaving = self.loads(service, TargetSession::is_draining);
         if leaving.iter().all(|load| load.shards == 0) && !rebalances {
             return;
         }
         let Some(placement) = self.placements.get(&service) else {
             return;
         };
-        if placement.load != LoadState::Claimed || !placement.is_settled() {
+        if placement.state != PlacementState::Claimed || !placement.is_settled() {
             return;
         }
-        let mut staying = self.loads(service, TargetSession::takes_shards);
+        let mut staying = self.loads(service, TargetSession::accepts_shards);
         if staying.is_empty() {
             return;
         }
         let gap_percent = if rebalances { RebalanceLimits::default().gap_percent } else { 100 };
-        let limits = RebalanceLimits { moves: self.settings.moves, gap_percent };
+        let limits = RebalanceLimits { moves: self.settings.max_concurrent_moves, gap_percent };
         let plans = plan_moves(&leaving, &mut staying, limits);
         self.begin_moves(service, &plans, now);
     }
@@ -144,9 +145,9 @@
             let from = plan.from;
             let shards = by_owner
                 .entry(from)
-                .or_insert_with(|| placement.select(|record| record.owner == Some(from)));
+                .or_insert_with(|| placement.shards_where(|record| record.owner == Some(from)));
             let Some(shard) = shards.pop() else { continue };
-            if !placement.advance(shard, ShardEvent::ReleaseAsked) {
+            if !placement.advance(shard, ShardEvent::ReleaseRequested) {
                 continue;
             }
             let Some(record) = placement.get_mut(shard) else {
@@ -154,11 +155,11 @@
             };
             record.next = Some(plan.to);
             let grant = ShardGrant { shard, epoch: record.epoch };
-            let route = placement.route(shard);
+            let route = placement.route_change(shard);
             self.log.push(route);
             if let Some(session) = self.sessions.get_mut(&from) {
-                session.ask_release(grant);
-                session.hurry(now);
+                session.queue_release(grant);
+                session.schedule_order_by(now);
             }
             started += 1;
         }
@@ -177,7 +178,7 @@
         self.sessions.values().filter(of_service).map(load).collect()
     }
 
-    pub(super) fn note_placement_written(
+    pub(super) fn handle_placement_written(
         &mut self,
         call: CallId,
         service: ServiceKey,
@@ -194,12 +195,12 @@
         match answer {
             WriteOutcome::Done(version) => {
                 placement.version = version;
-                let claims = placement.load == LoadState::Claiming;
+                let claims = placement.state == PlacementState::Claiming;
                 if claims {
-                    placement.gather_until = now + GATHER_WAIT;
+                    placement.discovery_deadline = now + TARGET_DISCOVERY_TIMEOUT;
                 }
-                placement.load = LoadState::Claimed;
-                placement.attention = true;
+                placement.state = PlacementState::Claimed;
+                placement.needs_assignment = true;
                 let current = |write: &PendingWrite| write.object.write_id == known.write_id;
                 if placement.pending.as_ref().is_some_and(current) {
                     self.commit_write(service, false);
@@ -208,13 +209,13 @@
                     self.free_lost_shards(service, now);
                 }
             }
-            WriteOutcome::Conflict if placement.load == LoadState::Claiming => {
+            WriteOutcome::Conflict if placement.state == PlacementState::Claiming => {
                 // The predecessor wrote once more before this term stood: start from that.
-                placement.load = LoadState::Unread;
+                placement.state = PlacementState::Unread;
                 placement.pending = None;
             }
-            WriteOutcome::Conflict => placement.reread = true,
-            WriteOutcome::Failed => self.pause_calls(service, now),
+            WriteOutcome::Conflict => placement.needs_read = true,
+            WriteOutcome::Failed => self.back_off_calls(service, now),
         }
     }
 
@@ -255,10 +256,10 @@
         record.owner = record.next.take();
         let grant = ShardGrant { shard, epoch: record.epoch };
         let owner = record.owner.and_then(|owner| self.sessions.get_mut(&owner));
-        match owner.filter(|session| session.takes_grants()) {
+        match owner.filter(|session| session.accepts_grants()) {
             Some(session) => {
                 session.owned += 1;
-                session.offer(grant);
+                session.queue_grant(grant);
             }
             // Lost meanwhile, and never told: free at once.
             None => {
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -5,16 +5,16 @@
 use nickellead_api::{DeclaredConfig, TargetState};
 use nickellead_core::{ServiceKey, TargetKey, Timestamp};
 
-use super::moves::GATHER_WAIT;
+use super::moves::TARGET_DISCOVERY_TIMEOUT;
 use super::{ZoneAction, ZoneCoordinator, ZoneNotice};
 use crate::charts::{MandatePhase, SessionPhase, ShardEvent, ShardPhase};
 use crate::order::{ShardGrant, TargetReply};
-use crate::session::{SessionNews, TargetSession};
-use crate::shard::{LoadState, ServicePlacement};
+use crate::session::{SessionChanges, TargetSession};
+use crate::shard::{PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
 impl ZoneCoordinator {
-    pub(super) fn note_reply(&mut self, reply: &TargetReply, now: Timestamp) {
+    pub(super) fn handle_reply(&mut self, reply: &TargetReply, now: Timestamp) {
         if !self.coordinates() {
             return;
         }
@@ -22,35 +22,39 @@
             return;
         };
         let before = session.phase;
-        let news = session.answer(reply, self.term, &self.settings.times, now);
-        if before != session.phase && session.phase == SessionPhase::Lapsing {
+        let changes = session.apply_reply(reply, self.term, &self.settings.timings, now);
+        if before != session.phase && session.phase == SessionPhase::Expiring {
             let name = session.name.clone();
             self.notify(ZoneNotice::TargetRestarted(name));
         }
-        match news.superseded_by {
-            Some(term) => self.see_term(term),
-            None => self.apply_news(reply.target, news),
+        match changes.superseded_by {
+            Some(term) => self.observe_term(term),
+            None => self.apply_session_changes(reply.target, changes),
         }
     }
 
-    fn apply_news(&mut self, target: TargetKey, news: SessionNews) {
-        if let Some(held) = news.fenced_with {
-            self.notice_of(target, ZoneNotice::TargetFenced);
-            self.compare_held(target, &held);
+    fn apply_session_changes(&mut self, target: TargetKey, changes: SessionChanges) {
+        if let Some(held) = changes.fenced_with {
+            self.notify_target(target, ZoneNotice::TargetFenced);
+            self.reconcile_held_grants(target, &held);
         }
-        if news.synced {
-            self.notice_of(target, ZoneNotice::TargetLive);
-            self.call_attention(target);
+        if changes.synced {
+            self.notify_target(target, ZoneNotice::TargetLive);
+            self.request_assignment(target);
         }
-        for grant in news.granted {
-            self.change_shard(target, grant, ShardEvent::Granted);
+        for grant in changes.granted {
+            self.advance_owned_shard(target, grant, ShardEvent::Granted);
         }
-        for grant in news.refused.into_iter().chain(news.released) {
+        for grant in changes.refused.into_iter().chain(changes.released) {
             self.free_shard(target, grant);
         }
     }
 
-    fn notice_of(&mut self, target: TargetKey, notice: fn(nickellead_core::Name) -> ZoneNotice) {
+    fn notify_target(
+        &mut self,
+        target: TargetKey,
+        notice: fn(nickellead_core::Name) -> ZoneNotice,
+    ) {
         if let Some(session) = self.sessions.get(&target) {
             let name = session.name.clone();
             self.notify(notice(name));
@@ -62,7 +66,7 @@
     /// A shard that the placement gives it and that it does not hold is freed:
     /// no lower term can grant it any more. A higher epoch than the placement's
     /// was granted by a detached coordinator, and stands.
-    fn compare_held(&mut self, target: TargetKey, held: &[ShardGrant]) {
+    fn reconcile_held_grants(&mut self, target: TargetKey, held: &[ShardGrant]) {
         let Some(session) = self.sessions.get(&target) else {
             return;
         };
@@ -78,19 +82,19 @@
             let owner_live = record
                 .owner
                 .and_then(|owner| self.sessions.get(&owner))
-                .is_some_and(TargetSession::takes_grants);
+                .is_some_and(TargetSession::accepts_grants);
             let higher = record.epoch < grant.epoch;
             let adopts = higher && !owner_live && !self.predecessor.records_known;
-            // Its lease lapsed and nobody was given the shard since: it may serve on as before.
+            // Its lease expired and nobody was given the shard since: it may serve on as before.
             let returns = record.phase == ShardPhase::Free && record.epoch == grant.epoch;
             if adopts || returns {
-                placement.load_owner(grant.shard, Some(target), grant.epoch);
+                placement.set_loaded_owner(grant.shard, Some(target), grant.epoch);
                 placement.dirty |= adopts;
                 changed.push(grant.shard);
             }
         }
         let holds: BTreeMap<_, _> = held.iter().map(|grant| (grant.shard, grant.epoch)).collect();
-        let owned = placement.select(|record| record.owner == Some(target));
+        let owned = placement.shards_where(|record| record.owner == Some(target));
         for shard in owned {
             let Some(record) = placement.get_mut(shard) else {
                 continue;
@@ -100,20 +104,20 @@
                 changed.push(shard);
             }
         }
-        let routes: Vec<_> = changed.iter().map(|shard| placement.route(*shard)).collect();
+        let routes: Vec<_> = changed.iter().map(|shard| placement.route_change(*shard)).collect();
         routes.into_iter().for_each(|route| self.log.push(route));
         self.recount_owned();
     }
 
     /// Has owners chosen anew for the free shards of a target's service.
-    fn call_attention(&mut self, target: TargetKey) {
+    fn request_assignment(&mut self, target: TargetKey) {
         let service = self.sessions.get(&target).map(|session| session.service);
         if let Some(placement) = service.and_then(|service| self.placements.get_mut(&service)) {
-            placement.attention = true;
+            placement.needs_assignment = true;
         }
     }
 
-    fn change_shard(&mut self, target: TargetKey, grant: ShardGrant, event: ShardEvent) {
+    fn advance_owned_shard(&mut self, target: TargetKey, grant: ShardGrant, event: ShardEvent) {
         let Some(session) = self.sessions.get(&target) else {
             return;
         };
@@ -125,7 +129,7 @@
         };
         let meant = record.owner == Some(target) && record.epoch == grant.epoch;
         if meant && placement.advance(grant.shard, event) {
-            let route = placement.route(grant.shard);
+            let route = placement.route_change(grant.shard);
             self.log.push(route);
         }
     }
@@ -150,21 +154,21 @@
         };
         placement.advance(grant.shard, event);
         session.owned = session.owned.saturating_sub(1);
-        let route = placement.route(grant.shard);
+        let route = placement.route_change(grant.shard);
         self.log.push(route);
     }
 
-    /// Ends the sessions whose lease has surely lapsed.
-    pub(super) fn look_after_sessions(&mut self, now: Timestamp) {
-        let lapsed: Vec<TargetKey> = self
+    /// Ends the sessions whose lease has surely expired.
+    pub(super) fn expire_sessions(&mut self, now: Timestamp) {
+        let expired: Vec<TargetKey> = self
             .sessions
             .values()
-            .filter(|session| self.has_lapsed(session, now))
+            .filter(|session| self.is_expired(session, now))
             .map(|session| session.key)
             .collect();
-        self.await_return(&lapsed, now);
-        for target in lapsed {
-            self.lose_target(target, now);
+        self.expect_return(&expired, now);
+        for target in expired {
+            self.expire_target(target, now);
         }
     }
 
@@ -172,41 +176,42 @@
     ///
     /// This VM stood still, or was cut off, rather than all of them. Else the first target to
     /// answer would get all their shards, and give most away again.
-    fn await_return(&mut self, lapsed: &[TargetKey], now: Timestamp) {
+    fn expect_return(&mut self, expired: &[TargetKey], now: Timestamp) {
         for (service, placement) in &mut self.placements {
             let mut lives = self.sessions.values().filter(|session| {
                 session.service == *service && session.phase != SessionPhase::Lost
             });
-            if !lapsed.is_empty() && lives.all(|session| lapsed.contains(&session.key)) {
-                placement.return_until = now + GATHER_WAIT;
+            if !expired.is_empty() && lives.all(|session| expired.contains(&session.key)) {
+                placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
             }
         }
     }
 
-    fn has_lapsed(&self, session: &TargetSession, now: Timestamp) -> bool {
+    fn is_expired(&self, session: &TargetSession, now: Timestamp) -> bool {
         if session.phase == SessionPhase::Lost {
             return false;
         }
         if session.declared == TargetState::Gone {
             return true;
         }
-        let times = &self.settings.times;
-        let own = now >= session.extended_until || !enforced!("lapse_wait");
+        let timings = &self.settings.timings;
+        let own = now >= session.lease_upper_bound || !enforced!("lapse_wait");
         match session.phase {
             // The predecessor may go on extending it until it is known to be stopped.
             SessionPhase::New => {
                 let stopped_at = self.predecessor.stopped_at;
-                stopped_at.map_or(!enforced!("successor_wait"), |at| now >= times.bound(at))
+                stopped_at
+                    .map_or(!enforced!("successor_wait"), |at| now >= timings.lease_upper_bound(at))
             }
             _ => own,
         }
     }
 
-    fn lose_target(&mut self, target: TargetKey, now: Timestamp) {
+    fn expire_target(&mut self, target: TargetKey, now: Timestamp) {
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
         };
-        session.lapse();
+        session.expire();
         session.owned = 0;
         let (name, service) = (session.name.clone(), session.service);
         let Some(shards) = self.free_shards_of(target, service, now) else {
@@ -223,15 +228,15 @@
         now: Timestamp,
     ) -> Option<u32> {
         let placement = self.placements.get_mut(&service)?;
-        placement.attention = true;
-        let returns = now < placement.return_until;
-        let owned = placement.select(|record| record.owner == Some(target));
+        placement.needs_assignment = true;
+        let returns = now < placement.return_deadline;
+        let owned = placement.shards_where(|record| record.owner == Some(target));
         for shard in &owned {
             placement.advance(*shard, ShardEvent::OwnerLost);
             if let Some(record) = placement.get_mut(*shard) {
-                record.awaited = returns;
+                record.expects_return = returns;
             }
-            let route = placement.route(*shard);
+            let route = placement.route_change(*shard);
             self.log.push(route);
         }
         Some(owned.len() as u32)
@@ -252,7 +257,7 @@
         if let Some(placement) = self.placements.get_mut(&service)
             && !targets.is_empty()
         {
-            placement.return_until = now + GATHER_WAIT;
+            placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
         }
         for target in targets {
             self.free_shards_of(target, service, now);
@@ -268,21 +273,21 @@
 
     pub(super) fn send_order(&mut self, target: TargetKey, now: Timestamp) {
         let may_sync = self.may_sync(now);
-        let times = self.settings.times;
+        let timings = self.settings.timings;
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
         };
         let placement = self.placements.get(&session.service);
-        let ready = placement.is_some_and(|placement| placement.load == LoadState::Claimed);
+        let ready = placement.is_some_and(|placement| placement.state == PlacementState::Claimed);
         if session.declared == TargetState::Gone || !ready {
             return;
         }
-        let standing = if may_sync && session.wants_standing(now, &times) {
-            Some(placement.map_or_else(Vec::new, |placement| placement.standing_of(target)))
+        let standing = if may_sync && session.needs_standing_grants(now, &timings) {
+            Some(placement.map_or_else(Vec::new, |placement| placement.standing_grants(target)))
         } else {
             None
         };
-        if let Some(order) = session.poll(self.term, standing, &times, now) {
+        if let Some(order) = session.poll(self.term, standing, &timings, now) {
             self.actions.push(ZoneAction::SendOrder(order));
         }
     }
@@ -301,12 +306,13 @@
         let unheard = |session: &TargetSession| session.phase == SessionPhase::New;
         let all_fenced = !self.sessions.values().any(unheard);
         let stopped_at = self.predecessor.stopped_at;
-        all_fenced || stopped_at.is_some_and(|at| now >= self.settings.times.bound(at))
+        all_fenced
+            || stopped_at.is_some_and(|at| now >= self.settings.timings.lease_upper_bound(at))
     }
 
     /// Whether a target out of reach waits for word that the predecessor is stopped.
     #[must_use]
-    pub fn awaits_evidence(&self) -> bool {
+    pub fn awaits_predecessor_stop(&self) -> bool {
         let unheard =
             |session: &TargetSession| session.phase == SessionPhase::New && session.owned > 0;
         let unknown = self.predecessor.stopped_at.is_none() && self.predecessor.holder.is_some();
@@ -314,9 +320,10 @@
     }
 
     /// Asks the predecessor to step down while a target is out of this VM's reach.
-    pub(super) fn ask_predecessor(&mut self, now: Timestamp) {
-        let due = now.since(self.predecessor.asked_at) >= self.settings.times.renewal;
-        if !due || !self.awaits_evidence() {
+    pub(super) fn request_step_down(&mut self, now: Timestamp) {
+        let due =
+            now.since(self.predecessor.requested_at) >= self.settings.timings.renewal_interval;
+        if !due || !self.awaits_predecessor_stop() {
             return;
         }
         let Some(holder) = self.predecessor.holder.clone() else {
@@ -326,7 +333,7 @@
             self.predecessor.stopped_at = Some(now);
             return;
         }
-        self.predecessor.asked_at = now;
+        self.predecessor.requested_at = now;
         self.actions.push(ZoneAction::RequestStepDown(holder, self.term));
     }
 
@@ -345,7 +352,7 @@
 
     /// Counts anew how many shards each target owns.
     pub(super) fn recount_owned(&mut self) {
-        let counts: Vec<_> = self.placements.values().map(ServicePlacement::owned_by).collect();
+        let counts: Vec<_> = self.placements.values().map(ServicePlacement::owned_counts).collect();
         for session in self.sessions.values_mut() {
             let owned = counts.iter().filter_map(|count| count.get(&session.key));
             session.owned = owned.sum();
--- a/crates/nickellead_lease/src/session.rs
+++ b/crates/nickellead_lease/src/session.rs
@@ -10,37 +10,37 @@
 
 use crate::charts::{SessionEvent, SessionPhase, charts};
 use crate::order::{OrderOutcome, ShardGrant, TargetOrder, TargetReply};
-use crate::times::LeaseTimes;
+use crate::timings::LeaseTimings;
 
-/// How soon a target is asked again whether a release is done.
-const RELEASE_POLL: Duration = Duration::from_millis(5);
+/// Interval between orders that poll for the completion of a release.
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Debug)]
 struct SentOrder {
     sequence: Sequence,
-    at: Timestamp,
+    sent_at: Timestamp,
     grants: Vec<ShardGrant>,
     standing: bool,
 }
 
-/// What an answer changed.
+/// State changes that a reply caused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct SessionNews {
-    /// The target has seen this higher term.
+pub(crate) struct SessionChanges {
+    /// Higher term that the target has seen.
     pub(crate) superseded_by: Option<Term>,
-    /// The target answered its first contact and holds these grants.
+    /// Grants that the target held when it replied to the first contact.
     pub(crate) fenced_with: Option<Vec<ShardGrant>>,
-    /// The target took its list of standing grants.
+    /// Whether the target applied its list of standing grants.
     pub(crate) synced: bool,
-    /// Grants that the target took.
+    /// Grants that the target accepted.
     pub(crate) granted: Vec<ShardGrant>,
-    /// Grants that the target refused for a higher epoch.
+    /// Grants that the target refused because it has seen the same or a higher epoch.
     pub(crate) refused: Vec<ShardGrant>,
-    /// Shards that the target gave up.
+    /// Grants that the target released.
     pub(crate) released: Vec<ShardGrant>,
 }
 
-/// The lease between this coordinator and one target.
+/// A coordinator's lease-based session with one target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetSession {
     pub(crate) name: Name,
@@ -50,17 +50,17 @@
     pub(crate) declared: TargetState,
     pub(crate) phase: SessionPhase,
     pub(crate) leaving: bool,
-    /// Shards that count as this target's, in whatever phase.
+    /// Number of shards that have this target as their owner, in any phase.
     pub(crate) owned: u32,
-    /// No lease that this coordinator extended lasts longer, on this clock.
-    pub(crate) extended_until: Timestamp,
+    /// Latest time, on the local clock, at which a lease extended by this coordinator may end.
+    pub(crate) lease_upper_bound: Timestamp,
     incarnation: Option<Incarnation>,
     nonce: Option<(Nonce, Timestamp)>,
     sequence: Sequence,
     sent: Option<SentOrder>,
     next_due: Timestamp,
-    /// No order goes out before this, whatever is pending: the last one failed.
-    not_before: Timestamp,
+    /// Earliest time of the next order after a failed one.
+    retry_at: Timestamp,
     grants: BTreeMap<ShardIndex, Epoch>,
     releases: BTreeMap<ShardIndex, Epoch>,
 }
@@ -77,30 +77,30 @@
             phase: charts().session.initial(),
             leaving: false,
             owned: 0,
-            extended_until: Timestamp::ZERO,
+            lease_upper_bound: Timestamp::ZERO,
             incarnation: None,
             nonce: None,
             sequence: Sequence::ZERO,
             sent: None,
             next_due: Timestamp::ZERO,
-            not_before: Timestamp::ZERO,
+            retry_at: Timestamp::ZERO,
             grants: BTreeMap::new(),
             releases: BTreeMap::new(),
         }
     }
 
-    /// Whether the target may get new shards.
-    pub(crate) fn takes_shards(&self) -> bool {
+    /// Returns whether shards may be assigned to the target.
+    pub(crate) fn accepts_shards(&self) -> bool {
         self.phase == SessionPhase::Live && self.declared == TargetState::Active && !self.leaving
     }
 
-    /// Whether a grant that is kept may be offered: the session is live.
-    pub(crate) fn takes_grants(&self) -> bool {
+    /// Returns whether a persisted grant may be sent to the target.
+    pub(crate) fn accepts_grants(&self) -> bool {
         self.phase == SessionPhase::Live
     }
 
-    /// Whether the target is to lose its shards by planned moves.
-    pub(crate) fn gives_shards(&self) -> bool {
+    /// Returns whether planned moves must take the target's shards away.
+    pub(crate) fn is_draining(&self) -> bool {
         self.phase == SessionPhase::Live && (self.declared != TargetState::Active || self.leaving)
     }
 
@@ -108,21 +108,21 @@
         charts().session.advance(&mut self.phase, event)
     }
 
-    /// Offers a grant with the next order.
-    pub(crate) fn offer(&mut self, grant: ShardGrant) {
+    /// Adds a grant to the next order.
+    pub(crate) fn queue_grant(&mut self, grant: ShardGrant) {
         self.releases.remove(&grant.shard);
         self.grants.insert(grant.shard, grant.epoch);
     }
 
-    /// Asks for a release with the next order.
-    pub(crate) fn ask_release(&mut self, grant: ShardGrant) {
+    /// Adds a release to the next order.
+    pub(crate) fn queue_release(&mut self, grant: ShardGrant) {
         self.grants.remove(&grant.shard);
         self.releases.insert(grant.shard, grant.epoch);
     }
 
-    /// Notes that the lease is over: nothing is pending any more.
-    pub(crate) fn lapse(&mut self) {
-        self.advance(SessionEvent::Lapsed);
+    /// Ends the session and discards pending orders, grants and releases.
+    pub(crate) fn expire(&mut self) {
+        self.advance(SessionEvent::Expired);
         self.incarnation = None;
         self.nonce = None;
         self.sent = None;
@@ -130,89 +130,94 @@
         self.releases.clear();
     }
 
-    /// Whether the list of standing grants is wanted for the next order.
-    pub(crate) fn wants_standing(&self, now: Timestamp, times: &LeaseTimes) -> bool {
-        self.phase == SessionPhase::Fenced && !self.is_waiting(now, times)
+    /// Returns whether the next order needs the list of standing grants.
+    pub(crate) fn needs_standing_grants(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
+        self.phase == SessionPhase::Fenced && !self.is_blocked(now, timings)
     }
 
-    /// The next order, when one is due.
+    /// Returns the next order if one is due.
     pub(crate) fn poll(
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimes,
+        timings: &LeaseTimings,
         now: Timestamp,
     ) -> Option<TargetOrder> {
-        if self.is_waiting(now, times) {
+        if self.is_blocked(now, timings) {
             return None;
         }
         self.sent = None;
         let changed = !self.grants.is_empty() || !self.releases.is_empty();
         match self.phase {
-            SessionPhase::Lapsing => None,
+            SessionPhase::Expiring => None,
             SessionPhase::New | SessionPhase::Lost if now >= self.next_due => {
-                Some(self.make_order(term, None, times, now))
+                Some(self.build_order(term, None, timings, now))
             }
             SessionPhase::Fenced if standing.is_some() => {
-                Some(self.make_order(term, standing, times, now))
+                Some(self.build_order(term, standing, timings, now))
             }
             SessionPhase::Live if now >= self.next_due || (changed && self.releases.is_empty()) => {
-                Some(self.make_order(term, None, times, now))
+                Some(self.build_order(term, None, timings, now))
             }
             _ => None,
         }
     }
 
-    /// Brings the next order forward.
-    pub(crate) fn hurry(&mut self, now: Timestamp) {
-        self.next_due = self.next_due.min(now);
+    /// Makes the next order due no later than `due`.
+    pub(crate) fn schedule_order_by(&mut self, due: Timestamp) {
+        self.next_due = self.next_due.min(due);
     }
 
-    /// Takes in an answer.
-    pub(crate) fn answer(
+    /// Applies a reply; a reply to an earlier order still updates the nonce and releases.
+    pub(crate) fn apply_reply(
         &mut self,
         reply: &TargetReply,
         term: Term,
-        times: &LeaseTimes,
+        timings: &LeaseTimings,
         now: Timestamp,
-    ) -> SessionNews {
-        let mut news = SessionNews::default();
+    ) -> SessionChanges {
+        let mut changes = SessionChanges::default();
         if reply.term > term {
-            news.superseded_by = Some(reply.term);
-            return news;
+            changes.superseded_by = Some(reply.term);
+            return changes;
         }
         let sent = self.sent.take_if(|sent| sent.sequence == reply.sequence);
         self.leaving = reply.leaving;
         match reply.outcome {
             OrderOutcome::WrongTarget | OrderOutcome::StaleTerm | OrderOutcome::StaleSequence => {
-                news
+                changes
             }
             OrderOutcome::WrongIncarnation => {
                 self.advance(SessionEvent::Restarted);
-                news
+                changes
             }
             OrderOutcome::Accepted | OrderOutcome::Unsynced => {
-                self.accept(reply, sent, times, now, &mut news);
-                news
+                self.apply_accepted(reply, sent, timings, now, &mut changes);
+                changes
             }
         }
     }
 
-    /// Notes that an order got no answer.
-    pub(crate) fn fail(&mut self, sequence: Sequence, now: Timestamp, times: &LeaseTimes) {
+    /// Records that an order got no reply, and delays the next one.
+    pub(crate) fn record_failure(
+        &mut self,
+        sequence: Sequence,
+        now: Timestamp,
+        timings: &LeaseTimings,
+    ) {
         if self.sent.take_if(|sent| sent.sequence == sequence).is_some() {
-            self.not_before = now + times.heartbeat / 4;
-            self.next_due = self.not_before;
+            self.retry_at = now + timings.heartbeat_interval / 4;
+            self.next_due = self.retry_at;
         }
     }
 
-    fn accept(
+    fn apply_accepted(
         &mut self,
         reply: &TargetReply,
         sent: Option<SentOrder>,
-        times: &LeaseTimes,
+        timings: &LeaseTimings,
         now: Timestamp,
-        news: &mut SessionNews,
+        changes: &mut SessionChanges,
     ) {
         if self.incarnation.is_some_and(|known| known != reply.incarnation) {
             self.advance(SessionEvent::Restarted);
@@ -223,65 +228,67 @@
                 return;
             };
             self.incarnation = Some(reply.incarnation);
-            self.extended_until = self.extended_until.max(times.bound(now));
-            self.advance(SessionEvent::Answered);
-            news.fenced_with = Some(held);
+            self.lease_upper_bound = self.lease_upper_bound.max(timings.lease_upper_bound(now));
+            self.advance(SessionEvent::ContactAnswered);
+            changes.fenced_with = Some(held);
         }
-        self.note_nonce(reply.nonce, now);
+        self.record_nonce(reply.nonce, now);
         for release in &reply.released {
             if self.releases.get(&release.shard) == Some(&release.epoch) {
                 self.releases.remove(&release.shard);
             }
-            news.released.push(*release);
+            changes.released.push(*release);
         }
         if !self.releases.is_empty() {
-            self.next_due = now + RELEASE_POLL;
+            self.next_due = now + RELEASE_POLL_INTERVAL;
         }
         if let Some(sent) = sent.filter(|_| reply.outcome == OrderOutcome::Accepted) {
-            self.acknowledge(&sent, reply, news);
+            self.acknowledge(&sent, reply, changes);
         }
     }
 
-    fn acknowledge(&mut self, sent: &SentOrder, reply: &TargetReply, news: &mut SessionNews) {
+    fn acknowledge(&mut self, sent: &SentOrder, reply: &TargetReply, changes: &mut SessionChanges) {
         if sent.standing && self.advance(SessionEvent::Synced) {
-            news.synced = true;
+            changes.synced = true;
         }
         for grant in &sent.grants {
             if self.grants.get(&grant.shard) == Some(&grant.epoch) {
                 self.grants.remove(&grant.shard);
             }
             if reply.refused.contains(grant) {
-                news.refused.push(*grant);
+                changes.refused.push(*grant);
             } else {
-                news.granted.push(*grant);
+                changes.granted.push(*grant);
             }
         }
     }
 
-    fn note_nonce(&mut self, nonce: Nonce, now: Timestamp) {
+    fn record_nonce(&mut self, nonce: Nonce, now: Timestamp) {
         if self.nonce.is_none_or(|(known, _)| known < nonce) {
             self.nonce = Some((nonce, now));
         }
     }
 
-    fn is_waiting(&self, now: Timestamp, times: &LeaseTimes) -> bool {
-        let late = |sent: &SentOrder| now >= sent.at + times.order_timeout;
-        now < self.not_before || self.sent.as_ref().is_some_and(|sent| !late(sent))
+    /// Returns whether an order is in flight or the delay after a failed one is not over.
+    fn is_blocked(&self, now: Timestamp, timings: &LeaseTimings) -> bool {
+        let timed_out = |sent: &SentOrder| now >= sent.sent_at + timings.order_timeout;
+        now < self.retry_at || self.sent.as_ref().is_some_and(|sent| !timed_out(sent))
     }
 
-    fn make_order(
+    fn build_order(
         &mut self,
         term: Term,
         standing: Option<Vec<ShardGrant>>,
-        times: &LeaseTimes,
+        timings: &LeaseTimings,
         now: Timestamp,
     ) -> TargetOrder {
         self.sequence = self.sequence.next();
-        self.next_due = now + times.heartbeat;
+        self.next_due = now + timings.heartbeat_interval;
         let contact = matches!(self.phase, SessionPhase::New | SessionPhase::Lost);
         let echo = if contact { None } else { self.nonce };
         if let Some((_, received)) = echo {
-            self.extended_until = self.extended_until.max(times.bound(received));
+            self.lease_upper_bound =
+                self.lease_upper_bound.max(timings.lease_upper_bound(received));
         }
         let order = TargetOrder {
             target: self.key,
@@ -289,14 +296,14 @@
             incarnation: if contact { None } else { self.incarnation },
             sequence: self.sequence,
             echo: echo.map(|(nonce, _)| nonce),
-            lease_ms: times.lease.as_millis() as u64,
+            lease_ms: timings.lease_duration.as_millis() as u64,
             standing,
             grants: to_grants(&self.grants),
             releases: to_grants(&self.releases),
         };
         self.sent = Some(SentOrder {
             sequence: self.sequence,
-            at: now,
+            sent_at: now,
             grants: order.grants.clone(),
             standing: order.standing.is_some(),
         });
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -13,7 +13,7 @@
     Version,
 };
 use nickellead_lease::{
-    CoordinatorSettings, GrantGuard, LeaseTimes, MandateObject, MandatePhase, OrderOutcome,
+    CoordinatorSettings, GrantGuard, LeaseTimings, MandateObject, MandatePhase, OrderOutcome,
     ReadOutcome, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, TargetOrder,
     VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
@@ -240,9 +240,9 @@
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
             vm,
-            times: LeaseTimes::default(),
-            standbys: 2,
-            moves: 64,
+            timings: LeaseTimings::default(),
+            max_standbys: 2,
+            max_concurrent_moves: 64,
             seed: 1,
         };
         let now = Timestamp(1_000);
@@ -301,7 +301,7 @@
 fn is_kept(actions: &[ZoneAction]) -> bool {
     actions
         .iter()
-        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.kept))
+        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.stored))
 }
 
 #[test]
@@ -314,7 +314,7 @@
             lone.answer_read(10, 1);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
+    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
     assert!(!is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))));
 }
 
@@ -329,7 +329,7 @@
             lone.answer_read(version, renewal);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Taking);
+    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
 }
 
 #[test]
--- a/crates/nickellead_route/src/zone_table.rs
+++ b/crates/nickellead_route/src/zone_table.rs
@@ -84,7 +84,7 @@
         if known.is_some_and(|known| known >= current) {
             return None;
         }
-        let changes = self.log.since(known);
+        let changes = self.log.changes_since(known);
         let base = changes.as_ref().and(known).map(|(_, version)| version);
         Some(ZoneDelta {
             zone: self.zone,
@@ -103,7 +103,7 @@
             let counts = summary.services.entry(*service).or_default();
             for owner in owners.values() {
                 match owner {
-                    ShardOwner::Nobody => counts.unowned += 1,
+                    ShardOwner::Unowned => counts.unowned += 1,
                     ShardOwner::Moving => counts.moving += 1,
                     ShardOwner::Target { target, .. } => {
                         counts.served += 1;
