--- a/crates/nickellead_gateway/src/book/mod.rs
+++ b/crates/nickellead_gateway/src/book/mod.rs
@@ -341,7 +341,7 @@
         self.raise(|known| &mut known.ranges, as_of);
         let Some(new) = new else { return };
         // A map that a copy brought back does not follow on those that the store has lost.
-        let new = Stored { revision: new.order(), ..new };
+        let new = Stored { revision: new.effective_revision(), ..new };
         if self.ranges.borrow_mut().take_whole(new) {
             self.tell_newest_ranges();
         }
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -111,7 +111,7 @@
             let holder = target.instance();
             let most = self.borne_load(&holder);
             let capacity = f64::from(target.slots.max(1)) * factor(target);
-            OwnerCandidate { holder, capacity, most }
+            OwnerCandidate { target: holder, capacity, max_load: most }
         };
         usable.iter().map(candidate).collect()
     }
--- a/crates/nickellead_gateway/src/control/loads.rs
+++ b/crates/nickellead_gateway/src/control/loads.rs
@@ -34,8 +34,8 @@
             let recent = recent.entry(service.clone()).or_default();
             let load = loads.entry(service).or_default();
             for (key, count) in counts {
-                load.note(key, count);
-                recent.note(key, count);
+                load.record(key, count);
+                recent.record(key, count);
             }
         }
         drop((loads, recent));
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -157,17 +157,17 @@
         };
         self.health.record(&read);
         match &read {
-            Ok(_) => self.mandate.borrow_mut().note_reached(BootClock.now()),
-            Err(_) => self.mandate.borrow_mut().note_unreached(BootClock.now()),
+            Ok(_) => self.mandate.borrow_mut().observe_store_response(BootClock.now()),
+            Err(_) => self.mandate.borrow_mut().observe_store_failure(BootClock.now()),
         }
         let read = read?;
-        self.mandate.borrow_mut().note_era(self.store.era(), BootClock.now());
+        self.mandate.borrow_mut().observe_era(self.store.era(), BootClock.now());
         if let Some(read) = &read {
             self.book.note_mandate(read);
         }
         let holder = read.as_ref().filter(|read| !read.value.vacant && read.value.vm != self.vm);
         let address = holder.map(|read| read.value.address);
-        self.mandate.borrow_mut().note_read(read, BootClock.now());
+        self.mandate.borrow_mut().apply_read(read, BootClock.now());
         Ok(address)
     }
 
@@ -192,7 +192,7 @@
     }
 
     async fn write_mandate(&self) {
-        self.mandate.borrow_mut().note_era(self.store.era(), BootClock.now());
+        self.mandate.borrow_mut().observe_era(self.store.era(), BootClock.now());
         if self.mandate.borrow().is_held() && self.mandate.borrow().is_outdated() {
             self.read_mandate_anew().await;
         }
@@ -202,7 +202,7 @@
         let sent = BootClock.now();
         let answer = self.store.write_mandate(write.expected, &write.record).await;
         self.health.record(&answer);
-        let taken = self.mandate.borrow_mut().note_written(
+        let taken = self.mandate.borrow_mut().apply_write(
             &write,
             answer.as_ref().ok().copied(),
             sent,
@@ -228,8 +228,8 @@
         let Ok(read) = read else { return };
         let now = BootClock.now();
         let mut mandate = self.mandate.borrow_mut();
-        mandate.note_era(self.store.era(), now);
-        if mandate.note_read(read, now) {
+        mandate.observe_era(self.store.era(), now);
+        if mandate.apply_read(read, now) {
             self.keeper.replace(None);
             self.relay.set_leads(false);
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
@@ -240,7 +240,7 @@
 
     /// Whether this VM has seen late orders and the map in the store does not say so.
     fn knows_unwritten_lateness(&self) -> bool {
-        let written = self.book.ranges().is_some_and(|ranges| ranges.value.late);
+        let written = self.book.ranges().is_some_and(|ranges| ranges.value.late_orders);
         self.lateness.borrow().is_late(BootClock.now()) && !written
     }
 
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -36,13 +36,13 @@
             ("revision", &revision),
             ("edit", &edit),
             ("fence", &map.fence),
-            ("late_orders", &map.late),
+            ("late_orders", &map.late_orders),
         ];
         log_event(EventName::RangesWritten, &pairs);
         if let Some(keeper) = self.keeper.borrow_mut().as_mut()
             && keeper.map().writer == map.writer
         {
-            keeper.note_written(edit);
+            keeper.confirm_write(edit);
         }
         self.book.note_ranges(revision, Some(Stored { revision, value: map }));
     }
@@ -61,7 +61,7 @@
             return self.note_write_failed();
         };
         match classify_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
-            WriteOutcome::Done { revision, edit } => {
+            WriteOutcome::Written { revision, edit } => {
                 if let Some(found) = found {
                     self.note_map_written(revision, found.value, edit);
                 }
@@ -70,7 +70,7 @@
                 log_event(EventName::CoordinatorSuperseded, &[("reason", error)]);
                 self.keeper.replace(None);
             }
-            WriteOutcome::Undone(expected) => {
+            WriteOutcome::NotWritten(expected) => {
                 self.map_revision.set(expected);
                 self.note_write_failed();
             }
@@ -80,7 +80,7 @@
     /// Lets the keeper write again.
     fn note_write_failed(&self) {
         if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
-            keeper.note_write_failed();
+            keeper.abort_write();
         }
     }
 
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -32,18 +32,18 @@
             actix_rt::spawn(async move {
                 let reply = duty.send_order(&order).await;
                 if reply.leaving {
-                    duty.note_leaving(&order.holder, "order");
+                    duty.note_leaving(&order.target, "order");
                 }
                 let outcome = reply.outcome;
                 let now = BootClock.now();
                 let longest = keeper_settings(&duty.ownership).late_lease_bound(now);
-                duty.lateness.borrow_mut().note(&order, &outcome, now, longest);
+                duty.lateness.borrow_mut().observe_outcome(&order, &outcome, now, longest);
                 if duty.keeper_writer() != writer {
                     // The keeper made meanwhile reckons with every order sent before it.
                     return;
                 }
                 if let Some(keeper) = duty.keeper.borrow_mut().as_mut() {
-                    keeper.note_outcome(&order, outcome, now);
+                    keeper.apply_outcome(&order, outcome, now);
                 }
             });
         }
@@ -52,8 +52,8 @@
     /// Sends one order, if the mandate still allows it at this moment.
     async fn send_order(&self, order: &RangeOrder) -> OrderReply {
         let now = BootClock.now();
-        let power = self.mandate.borrow().power(now);
-        let stale = now.since(order.decided) > ORDER_AGE_MOST;
+        let power = self.mandate.borrow().authority(now);
+        let stale = now.since(order.decided_at) > ORDER_AGE_MOST;
         if power == MandateAuthority::None || stale {
             return OrderOutcome::NotSent.into();
         }
@@ -91,7 +91,7 @@
     let pairs: [(&str, &dyn std::fmt::Display); 6] = [
         ("order", &order.kind.as_str()),
         ("outcome", &outcome.as_str()),
-        ("target", &order.holder.id),
+        ("target", &order.target.id),
         ("first", &order.first),
         ("last", &order.last),
         ("fence", &order.fence),
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -47,7 +47,7 @@
     async fn see_to_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
         self.note_told_mandate(now);
         self.note_era(now);
-        let power = self.mandate.borrow().power(now);
+        let power = self.mandate.borrow().authority(now);
         self.metrics.mandate.set(i64::from(power != MandateAuthority::None));
         if power == MandateAuthority::None {
             // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
@@ -88,14 +88,14 @@
     fn note_told_mandate(&self, now: Timestamp) {
         if !self.mandate.borrow().is_held() {
             let told = self.book.mandate();
-            self.mandate.borrow_mut().note_read(told, now);
+            self.mandate.borrow_mut().apply_read(told, now);
         }
     }
 
     /// Takes in which era of the store is the newest that this VM heard of.
     fn note_era(&self, now: Timestamp) {
         let era = self.store.era();
-        self.mandate.borrow_mut().note_era(era, now);
+        self.mandate.borrow_mut().observe_era(era, now);
         self.metrics.set_era(era, self.store.invalid_eras());
         if era > self.era.replace(era) {
             // Watches of the era before hear nothing of this one.
@@ -137,7 +137,7 @@
         let writer = draw_number();
         let lateness = &mut self.lateness.borrow_mut();
         let keeper =
-            RangeController::take_over(settings, predecessors, inherited, writer, lateness, now);
+            RangeController::inherit(settings, predecessors, inherited, writer, lateness, now);
         self.keeper.replace(Some(keeper));
         log_event(EventName::CoordinatorLeading, &[("vm", &self.vm)]);
         true
@@ -147,11 +147,11 @@
 /// The keeper's times on the users' platform.
 pub(super) fn keeper_settings(ownership: &OwnershipSettings) -> ControllerSettings {
     ControllerSettings {
-        hold: ownership.lease(),
-        renewal: ownership.renewal_interval(),
-        retry: ORDER_RETRY,
+        lease: ownership.lease(),
+        renewal_interval: ownership.renewal_interval(),
+        retry_interval: ORDER_RETRY,
         margin: HOLD_MARGIN,
-        lateness: ORDER_LATENESS,
+        max_lateness: ORDER_LATENESS,
         drift: TARGET_DRIFT,
     }
 }
--- a/crates/nickellead_gateway/tests/common/owners.rs
+++ b/crates/nickellead_gateway/tests/common/owners.rs
@@ -25,12 +25,12 @@
         for key in KEYS.into_iter().filter(|key| (order.first..=order.last).contains(key)) {
             let before = held.get_mut(&key);
             if order.kind == OrderKind::Release {
-                if let Some(before) = before.filter(|before| before.holder == order.holder) {
+                if let Some(before) = before.filter(|before| before.holder == order.target) {
                     before.until = *at;
                 }
                 continue;
             }
-            if let Some(before) = before.filter(|before| before.holder != order.holder) {
+            if let Some(before) = before.filter(|before| before.holder != order.target) {
                 if before.until > *at {
                     broken.push(format!("key {key}: {} holds it at {order:?}", before.holder.id));
                 }
@@ -39,7 +39,7 @@
                 }
             }
             let hold =
-                KeyHold { holder: order.holder.clone(), fence: order.fence, until: *at + HOLD };
+                KeyHold { holder: order.target.clone(), fence: order.fence, until: *at + HOLD };
             held.insert(key, hold);
         }
     }
--- a/crates/nickellead_gateway/tests/common/store.rs
+++ b/crates/nickellead_gateway/tests/common/store.rs
@@ -485,13 +485,13 @@
     async fn send(&self, order: &RangeOrder, _: Duration, _: Duration) -> OrderReply {
         let mut state = self.0.state();
         state.orders.push((Instant::now(), order.clone()));
-        let outcome = match (state.outcomes.get(&order.holder.id), &order.kind) {
+        let outcome = match (state.outcomes.get(&order.target.id), &order.kind) {
             (Some(outcome), _) => outcome.clone(),
             (None, OrderKind::Grant(_)) => OrderOutcome::Done(None),
             (None, OrderKind::Release) => {
                 OrderOutcome::Done(Some(format!("token-{}", order.first)))
             }
         };
-        OrderReply { outcome, leaving: state.leaving.contains(&order.holder.id) }
+        OrderReply { outcome, leaving: state.leaving.contains(&order.target.id) }
     }
 }
--- a/crates/nickellead_gateway/tests/control.rs
+++ b/crates/nickellead_gateway/tests/control.rs
@@ -58,7 +58,7 @@
     });
     let orders = store.orders();
     let release = orders.iter().position(|order| order.kind == OrderKind::Release).unwrap();
-    assert_eq!((orders[release].holder.id.as_str(), orders[release].first), ("k2", 32_768));
+    assert_eq!((orders[release].target.id.as_str(), orders[release].first), ("k2", 32_768));
     assert!(orders[release].fence > before);
     let token = OrderKind::Grant(Some("token-32768".to_owned()));
     let grant = orders.iter().position(|order| order.kind == token).unwrap();
@@ -185,7 +185,7 @@
         assert!(gateway.ask("GET", "/key/", "x-key: 50000\r\n").ends_with("k2"));
         std::thread::sleep(Duration::from_millis(100));
     }
-    let renewals = |id: &str| store.orders().iter().filter(|order| order.holder.id == id).count();
+    let renewals = |id: &str| store.orders().iter().filter(|order| order.target.id == id).count();
     let before = renewals("k2");
     wait_until("grants are renewed without the store", || renewals("k2") > before);
     store.set_away(false);
--- a/crates/nickellead_gateway/tests/evacuated_zones.rs
+++ b/crates/nickellead_gateway/tests/evacuated_zones.rs
@@ -91,7 +91,7 @@
     let released = store
         .orders()
         .iter()
-        .any(|order| order.holder.id == "near" && order.kind.as_str() == "release");
+        .any(|order| order.target.id == "near" && order.kind.as_str() == "release");
     assert!(released, "the keys were taken back before they were given on");
     near.forget();
     assert!((0..20).all(|_| ask().contains(" 200 ")));
--- a/crates/nickellead_range/src/change.rs
+++ b/crates/nickellead_range/src/change.rs
@@ -51,7 +51,7 @@
     /// [`RangeMap::edit`] of the new map.
     edit: u64,
     /// [`RangeMap::late`] of the new map.
-    late: bool,
+    late_orders: bool,
     /// [`RangeMap::era`] of the new map.
     era: StoreEra,
     /// [`RangeMap::unconfirmed`] of the new map.
@@ -74,7 +74,7 @@
             fence: to.fence,
             writer: to.writer,
             edit: to.edit,
-            late: to.late,
+            late_orders: to.late_orders,
             era: to.era,
             unconfirmed: to.unconfirmed,
             removed: removed_services(from, to),
@@ -104,8 +104,8 @@
             }
             services.insert(service.clone(), ranges);
         }
-        let Self { fence, writer, edit, late, era, unconfirmed, .. } = *self;
-        Ok(RangeMap { fence, writer, edit, late, era, unconfirmed, services })
+        let Self { fence, writer, edit, late_orders: late, era, unconfirmed, .. } = *self;
+        Ok(RangeMap { fence, writer, edit, late_orders: late, era, unconfirmed, services })
     }
 
     /// Number of new ranges: how much it takes to tell the change.
--- a/crates/nickellead_range/src/controller/candidates.rs
+++ b/crates/nickellead_range/src/controller/candidates.rs
@@ -18,9 +18,9 @@
         candidates: &[OwnerCandidate],
         pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<TargetInstance>,
     ) {
-        let usable = |candidate: &&OwnerCandidate| !self.ended.contains(&candidate.holder);
+        let usable = |candidate: &&OwnerCandidate| !self.ended.contains(&candidate.target);
         let holders: BTreeSet<TargetInstance> =
-            candidates.iter().filter(usable).map(|candidate| candidate.holder.clone()).collect();
+            candidates.iter().filter(usable).map(|candidate| candidate.target.clone()).collect();
         self.candidates.insert(service.to_owned(), holders.clone());
         if holders.is_empty() {
             return;
@@ -96,7 +96,7 @@
         let work = self.work.entry((service.to_owned(), range.first)).or_default();
         // A grant under way may still turn out to be silent.
         let debt = if work.in_flight {
-            work.owner_until + self.settings.lateness
+            work.owner_until + self.settings.max_lateness
         } else {
             work.owner_debt_until
         };
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -25,29 +25,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerSettings {
     /// How long a target holds a range after a grant arrived.
-    pub hold: Duration,
+    pub lease: Duration,
     /// Between two renewals of a grant.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// Between two tries of an order that was not answered.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Added to every bound on a hold, for messages under way.
     pub margin: Duration,
     /// Latest that an unanswered order was seen to take effect.
-    pub lateness: Duration,
+    pub max_lateness: Duration,
     /// Bound on the difference of clock rates.
     pub drift: DriftBound,
 }
 
 impl ControllerSettings {
     /// Latest end of a hold whose grant is sent at `sent`, by this VM's clock.
-    fn hold_bound(&self, sent: Timestamp) -> Timestamp {
-        sent + self.drift.stretch(self.hold) + self.margin
+    fn lease_bound(&self, sent: Timestamp) -> Timestamp {
+        sent + self.drift.stretch(self.lease) + self.margin
     }
 
     /// Latest end of a hold by an order that was sent until `now` and is carried out late.
     #[must_use]
     pub fn late_lease_bound(&self, now: Timestamp) -> Timestamp {
-        self.hold_bound(now) + self.lateness
+        self.lease_bound(now) + self.max_lateness
     }
 }
 
@@ -150,7 +150,7 @@
     /// moves that followed on it may be lost, so nothing but renewals is sent to owners until all holds of
     /// that time are over; if this VM was not even told it, no renewals either.
     #[must_use]
-    pub fn take_over(
+    pub fn inherit(
         settings: ControllerSettings,
         predecessors: PredecessorBounds,
         inherited: InheritedMap,
@@ -179,19 +179,19 @@
         let sent = |last: LastOrder| {
             if enforced!("successor_adds_grace") { last.latest(now) } else { now }
         };
-        let last_sent = sent(predecessors.last);
-        let until = keeper.hold_bound(last_sent);
-        let previous_until = keeper.hold_bound(sent(predecessors.earlier));
+        let last_sent = sent(predecessors.last_holder);
+        let until = keeper.lease_bound(last_sent);
+        let previous_until = keeper.lease_bound(sent(predecessors.earlier_holders));
         if keeper.map.unconfirmed && enforced!("lost_moves") {
-            let late = keeper.map.late || predecessors.lateness_unknown;
-            let until = if late { until + settings.lateness } else { until };
+            let late = keeper.map.late_orders || predecessors.late_orders_unknown;
+            let until = if late { until + settings.max_lateness } else { until };
             keeper.doubt = UnconfirmedMap { until, is_foreign: true, lasts: true };
         }
         if last_sent > now {
             keeper.inherited_until = settings.late_lease_bound(last_sent);
         }
-        if keeper.map.late || predecessors.lateness_unknown {
-            lateness.expect_until(until + settings.lateness);
+        if keeper.map.late_orders || predecessors.late_orders_unknown {
+            lateness.assume_late_until(until + settings.max_lateness);
         }
         keeper.expect_holds(until, previous_until);
         if is_stale && enforced!("stale_map") {
@@ -273,7 +273,7 @@
 
     /// Reckons with holds of all holders that the map names until the given times.
     fn expect_holds(&mut self, owner_until: Timestamp, previous_until: Timestamp) {
-        let lateness = self.settings.lateness;
+        let lateness = self.settings.max_lateness;
         for (service, ranges) in &self.map.services {
             for range in ranges {
                 let work = RangeWork {
@@ -313,7 +313,7 @@
         self.committed = 0;
         self.next_edit();
         let Some(rival_until) = rival_until.filter(|_| enforced!("rival_moves")) else { return };
-        self.doubt.until = self.doubt.until.max(self.hold_bound(rival_until));
+        self.doubt.until = self.doubt.until.max(self.lease_bound(rival_until));
         self.map.unconfirmed = true;
         self.doubt.lasts = true;
         self.work.values_mut().for_each(|work| work.is_doubted = true);
@@ -343,8 +343,8 @@
     }
 
     /// Latest end of a hold whose grant is sent at `sent`.
-    fn hold_bound(&self, sent: Timestamp) -> Timestamp {
-        self.settings.hold_bound(sent)
+    fn lease_bound(&self, sent: Timestamp) -> Timestamp {
+        self.settings.lease_bound(sent)
     }
 
     /// Marks the map as changed; orders that rest on the change wait for its write.
@@ -370,13 +370,13 @@
     }
 
     /// Notes that a write is in the store.
-    pub fn note_written(&mut self, edit: u64) {
+    pub fn confirm_write(&mut self, edit: u64) {
         self.writing = false;
         self.committed = self.committed.max(edit);
     }
 
     /// Notes that a write failed without effect and may be tried again.
-    pub fn note_write_failed(&mut self) {
+    pub fn abort_write(&mut self) {
         self.writing = false;
     }
 }
--- a/crates/nickellead_range/src/controller/order.rs
+++ b/crates/nickellead_range/src/controller/order.rs
@@ -36,11 +36,11 @@
     /// Fencing token of the order.
     pub fence: u64,
     /// Who is asked.
-    pub holder: TargetInstance,
+    pub target: TargetInstance,
     /// What is asked.
     pub kind: OrderKind,
     /// When the order was decided; it is sent no earlier.
-    pub decided: Timestamp,
+    pub decided_at: Timestamp,
 }
 
 /// What became of an order.
--- a/crates/nickellead_range/src/controller/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -19,9 +19,9 @@
         renewals_only: bool,
         lateness: &LateOrderDetector,
     ) -> Vec<RangeOrder> {
-        if self.map.late != lateness.is_late(now) {
+        if self.map.late_orders != lateness.is_late(now) {
             // Written down, so that a successor reckons with it.
-            self.map.late = !self.map.late;
+            self.map.late_orders = !self.map.late_orders;
             self.next_edit();
         }
         self.doubt.lasts = now < self.doubt.until;
@@ -33,7 +33,7 @@
             lateness,
             renewals_only,
             committed: self.committed,
-            bound: self.hold_bound(now),
+            bound: self.lease_bound(now),
             doubt: self.doubt,
         };
         let mut orders = Vec::new();
@@ -171,9 +171,9 @@
             first: range.first,
             last: range.last,
             fence,
-            holder: holder.clone(),
+            target: holder.clone(),
             kind,
-            decided: self.now,
+            decided_at: self.now,
         }
     }
 }
--- a/crates/nickellead_range/src/controller/outcomes.rs
+++ b/crates/nickellead_range/src/controller/outcomes.rs
@@ -14,8 +14,8 @@
 
 impl RangeController {
     /// Takes in what became of an order that this keeper decided.
-    pub fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
-        let bound = self.hold_bound(now);
+    pub fn apply_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
+        let bound = self.lease_bound(now);
         let settings = self.settings;
         let key = (order.service.clone(), order.first);
         let Some(work) = self.work.get_mut(&key) else { return };
@@ -24,7 +24,7 @@
             ranges.and_then(|ranges| ranges.iter_mut().find(|one| one.first == order.first));
         let Some(range) = found else { return };
         if outcome == OrderOutcome::Ended {
-            self.ended.insert(order.holder.clone());
+            self.ended.insert(order.target.clone());
         }
         let stands = work.standing.is_some_and(|standing| standing.fence == order.fence);
         if range.fence != order.fence && !stands {
@@ -40,7 +40,7 @@
             OrderOutcome::Done(_) => {
                 work.is_doubted = false;
                 work.is_refused = false;
-                work.note_granted(bound, order.decided + settings.renewal, now);
+                work.note_granted(bound, order.decided_at + settings.renewal_interval, now);
                 if !range.settled {
                     range.settled = true;
                     self.next_edit();
@@ -61,9 +61,9 @@
                 // It never left, so the target's hold is what it was: a lost target's keys are free
                 // one hold after the last grant that may have reached it, not after the last try.
                 work.owner_until = work.confirmed_until;
-                work.due = now + settings.retry;
+                work.due = now + settings.retry_interval;
             }
-            OrderOutcome::Ended => work.due = now + settings.retry,
+            OrderOutcome::Ended => work.due = now + settings.retry_interval,
             OrderOutcome::Unanswered | OrderOutcome::Broken => {
                 work.silences += u32::from(outcome == OrderOutcome::Unanswered);
                 work.note_grant_in_doubt(bound, now, settings);
@@ -96,7 +96,7 @@
             | OrderOutcome::Broken
             | OrderOutcome::Unanswered => {
                 self.tries += 1;
-                self.due = now + settings.retry * self.tries.min(RELEASE_SLOWEST);
+                self.due = now + settings.retry_interval * self.tries.min(RELEASE_SLOWEST);
             }
         }
     }
@@ -122,7 +122,7 @@
     ) {
         self.owner_was_silent |= self.silences >= SILENCES_LATE;
         self.owner_until = self.owner_until.max(bound);
-        self.owner_debt_until = self.owner_debt_until.max(bound + settings.lateness);
-        self.due = now + settings.retry;
+        self.owner_debt_until = self.owner_debt_until.max(bound + settings.max_lateness);
+        self.due = now + settings.retry_interval;
     }
 }
--- a/crates/nickellead_range/src/inherited_map.rs
+++ b/crates/nickellead_range/src/inherited_map.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The store holds a map of this keeper, as of this revision and edit.
-    Done {
+    Written {
         /// Revision of the map.
         revision: Revision,
         /// Its edit.
@@ -15,7 +15,7 @@
     /// Somebody else has written the map.
     Superseded,
     /// Nothing was done: the map is to be written over what has this revision, or made if `None`.
-    Undone(Option<Revision>),
+    NotWritten(Option<Revision>),
 }
 
 /// What became of a write, by the map that the store holds in this era.
@@ -30,15 +30,15 @@
     expected: Option<Revision>,
 ) -> WriteOutcome {
     let Some(found) = found else {
-        return WriteOutcome::Undone(expected.filter(|expected| expected.era == era));
+        return WriteOutcome::NotWritten(expected.filter(|expected| expected.era == era));
     };
     let (revision, edit) = (found.revision, found.value.edit);
-    if found.is_of_copy() {
-        WriteOutcome::Undone(Some(revision))
+    if found.is_from_earlier_era() {
+        WriteOutcome::NotWritten(Some(revision))
     } else if found.value.writer == writer {
-        WriteOutcome::Done { revision, edit }
+        WriteOutcome::Written { revision, edit }
     } else if Some(revision) == expected {
-        WriteOutcome::Undone(expected)
+        WriteOutcome::NotWritten(expected)
     } else {
         WriteOutcome::Superseded
     }
@@ -63,13 +63,15 @@
         known: Option<Stored<RangeMap>>,
         era: StoreEra,
     ) -> Self {
-        let known = known.filter(|known| known.order().era < era);
+        let known = known.filter(|known| known.effective_revision().era < era);
         let is_behind = |found: &Stored<RangeMap>| {
-            known.as_ref().is_some_and(|known| found.order() <= known.order())
+            known
+                .as_ref()
+                .is_some_and(|known| found.effective_revision() <= known.effective_revision())
         };
         match found {
             Some(found) if !is_behind(&found) => {
-                Self { is_stale: found.is_of_copy(), map: found.value, era }
+                Self { is_stale: found.is_from_earlier_era(), map: found.value, era }
             }
             _ => Self {
                 is_stale: false,
--- a/crates/nickellead_range/src/late_orders.rs
+++ b/crates/nickellead_range/src/late_orders.rs
@@ -59,12 +59,12 @@
     }
 
     /// Reckons with late orders of all targets until then.
-    pub fn expect_until(&mut self, until: Timestamp) {
+    pub fn assume_late_until(&mut self, until: Timestamp) {
         self.late_until = self.late_until.max(until);
     }
 
     /// Takes in the outcome of an order; the debts of those sent until now end at `longest`.
-    pub fn note(
+    pub fn observe_outcome(
         &mut self,
         order: &RangeOrder,
         outcome: &OrderOutcome,
@@ -82,13 +82,13 @@
         while self.signs.front().is_some_and(|(at, _)| !recent(*at)) {
             self.signs.pop_front();
         }
-        let target = &order.holder.id;
+        let target = &order.target.id;
         match outcome {
             OrderOutcome::Unanswered => {
                 self.note_grant(target, true, now);
                 self.silent.insert(target.clone());
                 if self.is_late(now) {
-                    self.expect_until(longest);
+                    self.assume_late_until(longest);
                 }
             }
             OrderOutcome::Done(_) | OrderOutcome::Outranked => {
@@ -111,7 +111,7 @@
         self.signs.push_back((now, target.to_owned()));
         let targets: BTreeSet<&String> = self.signs.iter().map(|(_, target)| target).collect();
         if targets.len() >= TARGETS_LEAST && self.are_many_silent() {
-            self.expect_until(longest);
+            self.assume_late_until(longest);
         }
     }
 
--- a/crates/nickellead_range/src/load.rs
+++ b/crates/nickellead_range/src/load.rs
@@ -16,7 +16,7 @@
 
 impl KeyLoad {
     /// Notes requests for a key.
-    pub fn note(&mut self, key: u16, count: u32) {
+    pub fn record(&mut self, key: u16, count: u32) {
         *self.counts.entry(key).or_default() += f64::from(count);
     }
 
@@ -47,7 +47,7 @@
 
     /// The first key from `first` on at which the load summed from `first` reaches `wanted`.
     #[must_use]
-    pub fn reach(&self, first: u16, last: u16, wanted: f64) -> Option<u16> {
+    pub fn key_reaching(&self, first: u16, last: u16, wanted: f64) -> Option<u16> {
         let mut sum = 0.0;
         self.counts.range(first..=last).find_map(|(key, count)| {
             sum += count;
--- a/crates/nickellead_range/src/mandate.rs
+++ b/crates/nickellead_range/src/mandate.rs
@@ -128,9 +128,9 @@
             valid_until: Timestamp::ZERO,
             settled_at: Timestamp::ZERO,
             predecessors: PredecessorBounds {
-                last: LastOrder::After(RENEWAL_GRACE),
-                earlier: LastOrder::After(RENEWAL_GRACE),
-                lateness_unknown: true,
+                last_holder: LastOrder::After(RENEWAL_GRACE),
+                earlier_holders: LastOrder::After(RENEWAL_GRACE),
+                late_orders_unknown: true,
             },
         }
     }
@@ -161,7 +161,7 @@
 
     /// What this VM may send at this moment.
     #[must_use]
-    pub fn power(&self, now: Timestamp) -> MandateAuthority {
+    pub fn authority(&self, now: Timestamp) -> MandateAuthority {
         if !self.held {
             MandateAuthority::None
         } else if now < self.valid_until && now >= self.settled_at {
@@ -174,13 +174,13 @@
     }
 
     /// Notes that the store did not answer a call of this VM, or turned it away.
-    pub fn note_unreached(&mut self, now: Timestamp) {
+    pub fn observe_store_failure(&mut self, now: Timestamp) {
         self.unreached = Some(now);
         self.returned = None;
     }
 
     /// Notes that the store answered this VM.
-    pub fn note_reached(&mut self, now: Timestamp) {
+    pub fn observe_store_response(&mut self, now: Timestamp) {
         self.returned = self.returned.or(self.unreached.map(|_| now));
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Notes in which era the store is; an earlier one than is known is ignored.
-    pub fn note_era(&mut self, era: StoreEra, now: Timestamp) {
+    pub fn observe_era(&mut self, era: StoreEra, now: Timestamp) {
         self.first_era.get_or_insert(era);
         if era > self.era {
             self.era = era;
@@ -213,7 +213,7 @@
     }
 
     /// Takes in the object as read; tells whether the mandate was lost by it.
-    pub fn note_read(&mut self, read: Option<Stored<MandateRecord>>, now: Timestamp) -> bool {
+    pub fn apply_read(&mut self, read: Option<Stored<MandateRecord>>, now: Timestamp) -> bool {
         let Some(read) = read else {
             if self.seen.is_none() {
                 self.absent_since.get_or_insert(now);
@@ -228,7 +228,7 @@
         if !newer {
             return false;
         }
-        self.note_era(read.revision.era, now);
+        self.observe_era(read.revision.era, now);
         self.lost = false;
         self.renewals = self.renewals.max(read.value.renewals);
         let goes_on = self.is_mine(&read.value) || self.is_former(&read);
@@ -245,13 +245,13 @@
     /// Whether the store lost the mandate that this VM holds, and its grace is over as well: another VM
     /// may have held it for long.
     fn is_outlived(&self, now: Timestamp) -> bool {
-        let lost = self.seen().is_some_and(|seen| seen.is_of_copy() || self.lost);
+        let lost = self.seen().is_some_and(|seen| seen.is_from_earlier_era() || self.lost);
         lost && now >= self.valid_until + RENEWAL_GRACE
     }
 
     /// Whether a copy brought back what stood before this VM took the mandate that it holds.
     fn is_former(&self, read: &Stored<MandateRecord>) -> bool {
-        read.is_of_copy() && read.value.taken < self.taken
+        read.is_from_earlier_era() && read.value.taken < self.taken
     }
 
     /// Whether whoever wrote this had its mandate's full power since what was seen before.
@@ -324,12 +324,12 @@
     /// Whether a former process of this VM held the mandate: it has ended before this one started. What a
     /// copy says may have been followed by another VM's word.
     fn is_own(&self, seen: &Stored<MandateRecord>) -> bool {
-        seen.value.vm == self.vm && !(seen.is_of_copy() && enforced!("copy_of_mandate"))
+        seen.value.vm == self.vm && !(seen.is_from_earlier_era() && enforced!("copy_of_mandate"))
     }
 
     /// Whether any VM may take a mandate that has stood unchanged since `since`.
     fn is_free(&self, seen: &Stored<MandateRecord>, since: Timestamp, now: Timestamp) -> bool {
-        let of_copy = (self.lost || seen.is_of_copy()) && enforced!("copy_of_mandate");
+        let of_copy = (self.lost || seen.is_from_earlier_era()) && enforced!("copy_of_mandate");
         if seen.value.vacant && !of_copy {
             return now.since(since) >= self.extra_wait;
         }
@@ -353,8 +353,8 @@
     /// The same, for a keeper that starts to send orders: one made after it must reckon with these too.
     pub fn take_predecessors(&mut self) -> PredecessorBounds {
         let bounds = self.predecessors;
-        self.predecessors.last = bounds.last.at_least_now();
-        self.predecessors.earlier = bounds.earlier.at_least_now();
+        self.predecessors.last_holder = bounds.last_holder.at_least_now();
+        self.predecessors.earlier_holders = bounds.earlier_holders.at_least_now();
         bounds
     }
 
@@ -365,7 +365,7 @@
         };
         let last = &seen.value;
         // Another VM may have followed on what a copy brought back.
-        let of_copy = (self.lost || seen.is_of_copy()) && enforced!("copy_of_mandate");
+        let of_copy = (self.lost || seen.is_from_earlier_era()) && enforced!("copy_of_mandate");
         let since = if self.lost { &self.era_since } else { since };
         // Giving the mandate back stops a VM, and so does its restart.
         let stopped = last.vacant || (last.vm == self.vm && last.incarnation != self.incarnation);
@@ -385,9 +385,9 @@
         };
         let last_one = if stopped { earlier } else { full + grace };
         PredecessorBounds {
-            last: LastOrder::of_power(last_one, passed),
-            earlier: LastOrder::of_power(earlier, passed),
-            lateness_unknown: (of_copy || self.is_lateness_unknown(last))
+            last_holder: LastOrder::of_power(last_one, passed),
+            earlier_holders: LastOrder::of_power(earlier, passed),
+            late_orders_unknown: (of_copy || self.is_lateness_unknown(last))
                 && enforced!("unknown_lateness"),
         }
     }
@@ -396,14 +396,14 @@
     fn bound_lost_predecessors(&self, now: Timestamp) -> PredecessorBounds {
         let Some(since) = self.absent_since.filter(|_| !self.era.may_be_first()) else {
             return PredecessorBounds {
-                last: LastOrder::NOW,
-                earlier: LastOrder::NOW,
-                lateness_unknown: false,
+                last_holder: LastOrder::NOW,
+                earlier_holders: LastOrder::NOW,
+                late_orders_unknown: false,
             };
         };
         let power = CLOCK_DRIFT.stretch(MANDATE_TTL + RENEWAL_GRACE) + MANDATE_EXPIRY_MARGIN;
         let last = LastOrder::of_power(power, now.since(since));
-        PredecessorBounds { last, earlier: last, lateness_unknown: true }
+        PredecessorBounds { last_holder: last, earlier_holders: last, late_orders_unknown: true }
     }
 
     /// Whether the last holder may have met late orders and not have written this down.
@@ -423,7 +423,7 @@
         }
         self.held = false;
         let (seen, _) = self.seen.as_ref()?;
-        if has_rival || self.lost || self.is_outdated() || seen.is_of_copy() {
+        if has_rival || self.lost || self.is_outdated() || seen.is_from_earlier_era() {
             return None;
         }
         let record = MandateRecord { vacant: true, era: self.era, ..seen.value.clone() };
@@ -438,7 +438,7 @@
     /// Takes in the answer to a write sent at `sent`; tells whether the mandate was just taken.
     ///
     /// The answer is `None` when the write failed.
-    pub fn note_written(
+    pub fn apply_write(
         &mut self,
         write: &MandateWrite,
         answer: Option<Revision>,
@@ -448,7 +448,7 @@
         let Some(revision) = answer else {
             return false;
         };
-        self.note_era(revision.era, now);
+        self.observe_era(revision.era, now);
         if !self.held {
             self.predecessors = self.bound_predecessors(now);
             self.taken = write.record.taken;
--- a/crates/nickellead_range/src/map.rs
+++ b/crates/nickellead_range/src/map.rs
@@ -62,8 +62,8 @@
     /// Number of the writer's edit, so that a write whose answer was lost is recognised.
     pub edit: u64,
     /// Whether targets were seen to carry out orders late, so that a successor reckons with it.
-    #[serde(default)]
-    pub late: bool,
+    #[serde(default, rename = "late")]
+    pub late_orders: bool,
     /// The store's era in which it was written, as its writer knew it.
     #[serde(default, skip_serializing_if = "StoreEra::is_none")]
     pub era: StoreEra,
--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerCandidate {
     /// The target.
-    pub holder: TargetInstance,
+    pub target: TargetInstance,
     /// What it can do beside the others, 1.0 for an ordinary one.
     pub capacity: f64,
     /// The load that it can bear at most, as load is counted; `None` for as much as its capacity says.
-    pub most: Option<f64>,
+    pub max_load: Option<f64>,
 }
 
 /// A run of keys that should go to another target.
@@ -77,7 +77,7 @@
     load: &KeyLoad,
 ) -> Option<TargetInstance> {
     let loads = CandidateLoads::new(ranges, candidates, load);
-    Some(candidates[loads.lightest()?].holder.clone())
+    Some(candidates[loads.lightest()?].target.clone())
 }
 
 /// Loads and fair shares of all candidates, by place in their list.
@@ -97,7 +97,7 @@
             candidates.iter().map(|candidate| owned_load(ranges, candidate, load)).collect();
         let relative = owned.iter().zip(&fair).map(|(owned, fair)| owned / fair).collect();
         let bears = |candidate: &OwnerCandidate, owned: f64| {
-            candidate.most.is_none_or(|most| owned <= most * RELIEF_RATIO)
+            candidate.max_load.is_none_or(|most| owned <= most * RELIEF_RATIO)
         };
         let overborne = candidates.iter().zip(&owned).map(|(one, owned)| !bears(one, *owned));
         let overborne = overborne.collect();
@@ -165,7 +165,8 @@
     let mut full = vec![false; candidates.len()];
     loop {
         let shares = shares_beside(candidates, &full, total);
-        let over = |place: usize| candidates[place].most.is_some_and(|most| shares[place] > most);
+        let over =
+            |place: usize| candidates[place].max_load.is_some_and(|most| shares[place] > most);
         let filled: Vec<usize> =
             (0..candidates.len()).filter(|place| !full[*place] && over(*place)).collect();
         if filled.is_empty() {
@@ -177,7 +178,7 @@
 
 /// The load of each candidate when full ones have what they bear and the others share the rest by capacity.
 fn shares_beside(candidates: &[OwnerCandidate], full: &[bool], total: f64) -> Vec<f64> {
-    let borne = |place: usize| candidates[place].most.filter(|_| full[place]);
+    let borne = |place: usize| candidates[place].max_load.filter(|_| full[place]);
     let places = 0..candidates.len();
     let rest = (total - places.clone().filter_map(borne).sum::<f64>()).max(0.0);
     let open = places.clone().filter(|place| !full[*place]);
@@ -188,7 +189,7 @@
 
 /// Load of all ranges that a candidate owns.
 fn owned_load(ranges: &[RangeRecord], candidate: &OwnerCandidate, load: &KeyLoad) -> f64 {
-    let owned = ranges.iter().filter(|range| range.owner.as_ref() == Some(&candidate.holder));
+    let owned = ranges.iter().filter(|range| range.owner.as_ref() == Some(&candidate.target));
     owned.map(|range| weigh(load, range.first, range.last)).sum()
 }
 
@@ -203,11 +204,11 @@
     let givers = loads.givers(lightest);
     let (giver, first, last) = givers.into_iter().find_map(|giver| {
         let wanted = loads.subrange_request(giver, lightest);
-        let (first, last) = find_subrange(ranges, load, &candidates[giver].holder, wanted)?;
+        let (first, last) = find_subrange(ranges, load, &candidates[giver].target, wanted)?;
         Some((giver, first, last))
     })?;
     let receiver = loads.receiver(giver, weigh(load, first, last))?;
-    let proposal = MoveProposal { first, last, to: candidates[receiver].holder.clone() };
+    let proposal = MoveProposal { first, last, to: candidates[receiver].target.clone() };
     apply_move(ranges, &proposal);
     Some(proposal)
 }
--- a/crates/nickellead_range/src/predecessors.rs
+++ b/crates/nickellead_range/src/predecessors.rs
@@ -46,10 +46,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PredecessorBounds {
     /// When the last one, and so any of them, sends its last renewal at the latest.
-    pub last: LastOrder,
+    pub last_holder: LastOrder,
     /// When the last one sent its last order to holders that it was about to replace, and those
     /// before it their last renewal, at the latest.
-    pub earlier: LastOrder,
+    pub earlier_holders: LastOrder,
     /// Whether the last one may have met late orders while it could not write this down.
-    pub lateness_unknown: bool,
+    pub late_orders_unknown: bool,
 }
--- a/crates/nickellead_range/src/stored.rs
+++ b/crates/nickellead_range/src/stored.rs
@@ -123,7 +123,7 @@
     /// Whether it was written in an earlier era than the one in which it was found: what followed on it
     /// may have been lost.
     #[must_use]
-    pub fn is_of_copy(&self) -> bool {
+    pub fn is_from_earlier_era(&self) -> bool {
         self.value.era < self.revision.era
     }
 }
@@ -131,14 +131,14 @@
 impl Stored<RangeMap> {
     /// The same of a map.
     #[must_use]
-    pub fn is_of_copy(&self) -> bool {
+    pub fn is_from_earlier_era(&self) -> bool {
         self.value.era < self.revision.era
     }
 
     /// Where the map stands in the order of all maps: one that a copy brought back stands where it was
     /// written, behind those that followed on it and were lost.
     #[must_use]
-    pub fn order(&self) -> Revision {
+    pub fn effective_revision(&self) -> Revision {
         Revision { era: self.value.era.min(self.revision.era), ..self.revision }
     }
 }
--- a/crates/nickellead_range/src/subrange.rs
+++ b/crates/nickellead_range/src/subrange.rs
@@ -70,10 +70,10 @@
     let (first, last) = (source.first, source.last);
     let middle = first + (last - first) / 2;
     // The key at which a piece gets heavy enough, with it and without it.
-    let head = load.reach(first, last, wanted).unwrap_or(middle);
+    let head = load.key_reaching(first, last, wanted).unwrap_or(middle);
     let ends = [head.checked_sub(1), Some(head)].into_iter().flatten();
     let rest = load.between(first, last) - wanted;
-    let tail = load.reach(first, last, rest).unwrap_or(middle);
+    let tail = load.key_reaching(first, last, rest).unwrap_or(middle);
     let starts = [Some(tail), tail.checked_add(1)].into_iter().flatten();
     let at_ends = ends.map(|end| (first, end)).chain(starts.map(|start| (start, last)));
     let inside = |(start, end): &(u16, u16)| first <= *start && start <= end && *end <= last;
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -16,11 +16,14 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// A map that nobody kept before.
-const NO_PREDECESSORS: PredecessorBounds =
-    PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
+const NO_PREDECESSORS: PredecessorBounds = PredecessorBounds {
+    last_holder: LastOrder::NOW,
+    earlier_holders: LastOrder::NOW,
+    late_orders_unknown: false,
+};
 
 fn candidate(place: usize) -> OwnerCandidate {
-    OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None }
+    OwnerCandidate { target: holder(place, 1), capacity: 1.0, max_load: None }
 }
 
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
@@ -34,7 +37,7 @@
 impl LostTarget {
     fn new(lost: Timestamp, unlisted: Timestamp) -> Self {
         let mut lateness = LateOrderDetector::default();
-        let keeper = RangeController::take_over(
+        let keeper = RangeController::inherit(
             settings(),
             NO_PREDECESSORS,
             InheritedMap::default(),
@@ -55,10 +58,10 @@
     fn decide(&mut self, now: Timestamp) -> Vec<RangeOrder> {
         let listed: Vec<OwnerCandidate> =
             (0..2).filter(|place| *place == 0 || now < self.unlisted).map(candidate).collect();
-        let first = listed[0].holder.clone();
+        let first = listed[0].target.clone();
         self.keeper.set_candidates(SERVICE, &listed, |_, _, _| Some(first.clone()));
         if let Some((_, edit)) = self.keeper.take_write() {
-            self.keeper.note_written(edit);
+            self.keeper.confirm_write(edit);
         }
         self.keeper.due_orders(now, false, &self.lateness)
     }
@@ -69,13 +72,13 @@
         let judged: Vec<_> =
             orders.into_iter().map(|order| (order.clone(), self.outcome(&order, now))).collect();
         for (order, outcome) in &judged {
-            self.keeper.note_outcome(order, outcome.clone(), now);
+            self.keeper.apply_outcome(order, outcome.clone(), now);
         }
         judged
     }
 
     fn outcome(&self, order: &RangeOrder, now: Timestamp) -> OrderOutcome {
-        match order.holder == lost_holder() && now >= self.lost {
+        match order.target == lost_holder() && now >= self.lost {
             true => OrderOutcome::NotSent,
             false => OrderOutcome::Done(None),
         }
@@ -96,7 +99,7 @@
     let freed = loop {
         now = now + LOOK;
         for (order, outcome) in world.step(now) {
-            if order.holder == lost_holder() && outcome == OrderOutcome::Done(None) {
+            if order.target == lost_holder() && outcome == OrderOutcome::Done(None) {
                 last_renewal = now;
             }
         }
@@ -107,7 +110,8 @@
         assert!(now < Timestamp(30_000), "the keys never got an owner");
     };
     assert!(last_renewal < lost);
-    let bound = settings().late_lease_bound(last_renewal).since(last_renewal) - settings().lateness;
+    let bound =
+        settings().late_lease_bound(last_renewal).since(last_renewal) - settings().max_lateness;
     let waited = freed.since(last_renewal);
     assert!(waited >= bound, "a hold must lapse: {waited:?}");
     assert!(waited <= bound + LOOK * 4, "{waited:?} after the last grant that was sent");
@@ -122,9 +126,9 @@
     let before = LostTarget::new(Timestamp(60_000), Timestamp(60_000)).settled_map();
     let taken = Timestamp(20_000);
     let last = LastOrder::After(RENEWAL_GRACE);
-    let predecessors = PredecessorBounds { last, ..NO_PREDECESSORS };
+    let predecessors = PredecessorBounds { last_holder: last, ..NO_PREDECESSORS };
     let mut world = LostTarget::new(taken, taken + LOOK * 3);
-    world.keeper = RangeController::take_over(
+    world.keeper = RangeController::inherit(
         settings(),
         predecessors,
         InheritedMap { map: before, ..InheritedMap::default() },
@@ -133,11 +137,11 @@
         taken,
     );
     let under_way = world.decide(taken);
-    assert!(under_way.iter().any(|order| order.holder == lost_holder()));
+    assert!(under_way.iter().any(|order| order.target == lost_holder()));
     world.keeper.resume();
     let mut now = taken + LOOK * 2;
     for order in under_way {
-        world.keeper.note_outcome(&order, world.outcome(&order, now), now);
+        world.keeper.apply_outcome(&order, world.outcome(&order, now), now);
     }
     while world.keeper.map().services[SERVICE]
         .iter()
--- a/crates/nickellead_range/tests/late_orders.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -12,16 +12,19 @@
 use world::{SERVICE, holder, settings};
 
 /// A map that nobody kept before.
-const NO_PREDECESSORS: PredecessorBounds =
-    PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
+const NO_PREDECESSORS: PredecessorBounds = PredecessorBounds {
+    last_holder: LastOrder::NOW,
+    earlier_holders: LastOrder::NOW,
+    late_orders_unknown: false,
+};
 
 /// A keeper whose two targets have confirmed their grants at 10,000 ms.
 fn settled_keeper() -> (RangeController, LateOrderDetector) {
     let mut lateness = LateOrderDetector::default();
     let candidates: Vec<OwnerCandidate> = (0..2)
-        .map(|place| OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None })
+        .map(|place| OwnerCandidate { target: holder(place, 1), capacity: 1.0, max_load: None })
         .collect();
-    let mut keeper = RangeController::take_over(
+    let mut keeper = RangeController::inherit(
         settings(),
         NO_PREDECESSORS,
         InheritedMap::default(),
@@ -31,11 +34,11 @@
     );
     keeper.set_candidates(SERVICE, &candidates, |_, _, _| None);
     let (_, edit) = keeper.take_write().unwrap();
-    keeper.note_written(edit);
+    keeper.confirm_write(edit);
     let now = Timestamp(10_000);
     let orders = keeper.due_orders(now, false, &lateness);
     assert_eq!(orders.len(), 2);
-    orders.iter().for_each(|order| keeper.note_outcome(order, OrderOutcome::Done(None), now));
+    orders.iter().for_each(|order| keeper.apply_outcome(order, OrderOutcome::Done(None), now));
     (keeper, lateness)
 }
 
@@ -45,17 +48,17 @@
     let now = Timestamp(11_300);
     let orders = keeper.due_orders(now, false, &lateness);
     for (order, outcome) in orders.iter().zip(outcomes) {
-        lateness.note(order, &outcome, now, settings().late_lease_bound(now));
-        keeper.note_outcome(order, outcome, now);
+        lateness.observe_outcome(order, &outcome, now, settings().late_lease_bound(now));
+        keeper.apply_outcome(order, outcome, now);
     }
     let now = Timestamp(12_600);
     for order in keeper.due_orders(now, false, &lateness) {
         let outcome = OrderOutcome::Done(None);
-        lateness.note(&order, &outcome, now, settings().late_lease_bound(now));
-        keeper.note_outcome(&order, outcome, now);
+        lateness.observe_outcome(&order, &outcome, now, settings().late_lease_bound(now));
+        keeper.apply_outcome(&order, outcome, now);
     }
     keeper.due_orders(now, false, &lateness);
-    keeper.map().late
+    keeper.map().late_orders
 }
 
 #[test]
@@ -89,11 +92,16 @@
                 first: place as u16,
                 last: place as u16,
                 fence: 1,
-                holder: holder(place as usize, 1),
+                target: holder(place as usize, 1),
                 kind: OrderKind::Grant(None),
-                decided: now,
+                decided_at: now,
             };
-            lateness.note(&order, &outcome(place, round), now, settings().late_lease_bound(now));
+            lateness.observe_outcome(
+                &order,
+                &outcome(place, round),
+                now,
+                settings().late_lease_bound(now),
+            );
         }
     }
     lateness.is_late(Timestamp(10_000 + rounds * 1_000))
--- a/crates/nickellead_range/tests/mandate.rs
+++ b/crates/nickellead_range/tests/mandate.rs
@@ -40,15 +40,15 @@
     let renewals = seen.value.renewals - 1;
     let value = MandateRecord { renewals, vacant: false, ..seen.value.clone() };
     let before = Stored { revision: Revision::without_era(seen.revision.number - 1), value };
-    mandate.note_read(Some(before), Timestamp(since.0 - gap.as_millis() as u64));
-    mandate.note_read(Some(seen), since);
+    mandate.apply_read(Some(before), Timestamp(since.0 - gap.as_millis() as u64));
+    mandate.apply_read(Some(seen), since);
     mandate
 }
 
 /// Takes the mandate at `now`; it must be free.
 fn take(mandate: &mut MandateState, now: Timestamp) {
     let write = mandate.due_write(now).unwrap();
-    assert!(mandate.note_written(&write, Some(Revision::without_era(6)), now, now));
+    assert!(mandate.apply_write(&write, Some(Revision::without_era(6)), now, now));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     assert!(mandate.due_write(ran_out).is_some(), "without an outage it is free at once");
     let away = Timestamp(9_000);
-    mandate.note_unreached(away);
+    mandate.observe_store_failure(away);
     assert!(mandate.due_write(away + Duration::from_millis(100)).is_none());
     assert!(mandate.due_write(away + POST_OUTAGE_TAKEOVER_DELAY).is_some());
 }
@@ -67,21 +67,21 @@
 #[test]
 fn precedence_counts_from_the_return_of_the_store() {
     let mut mandate = standby(record("vm-1", false));
-    mandate.note_unreached(Timestamp(9_000));
+    mandate.observe_store_failure(Timestamp(9_000));
     let returned = Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY * 2;
-    mandate.note_reached(returned);
+    mandate.observe_store_response(returned);
     assert!(mandate.due_write(returned).is_none());
     let later = returned + POST_OUTAGE_TAKEOVER_DELAY;
-    mandate.note_reached(later);
+    mandate.observe_store_response(later);
     assert!(mandate.due_write(later).is_some(), "it counts from the first answer");
 }
 
 #[test]
 fn a_successor_reckons_with_late_orders_that_could_not_be_written_down() {
     let mut mandate = standby(record("vm-1", false));
-    mandate.note_unreached(Timestamp(9_000));
+    mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
-    assert!(mandate.predecessors().lateness_unknown);
+    assert!(mandate.predecessors().late_orders_unknown);
 }
 
 /// A successor that took over after a long outage let lost targets' keys wait as if the last holder
@@ -91,13 +91,17 @@
     let mut mandate = standby(record("vm-1", false));
     let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     take(&mut mandate, ran_out);
-    let LastOrder::After(left) = mandate.predecessors().last else { panic!("its grace goes on") };
+    let LastOrder::After(left) = mandate.predecessors().last_holder else {
+        panic!("its grace goes on")
+    };
     assert!(left >= RENEWAL_GRACE && left < RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN, "{left:?}");
     let mut mandate = standby(record("vm-1", false));
-    mandate.note_unreached(Timestamp(9_000));
+    mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
     let passed = Duration::from_millis(8_000) + POST_OUTAGE_TAKEOVER_DELAY;
-    let LastOrder::Before(over) = mandate.predecessors().last else { panic!("its grace is over") };
+    let LastOrder::Before(over) = mandate.predecessors().last_holder else {
+        panic!("its grace is over")
+    };
     assert!(over <= passed - MANDATE_TTL - RENEWAL_GRACE, "{over:?}");
     assert!(over >= passed - (MANDATE_TTL + RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN * 2), "{over:?}");
 }
@@ -106,11 +110,11 @@
 #[test]
 fn a_second_keeper_reckons_with_the_orders_of_the_first() {
     let mut mandate = standby(record("vm-1", false));
-    mandate.note_unreached(Timestamp(9_000));
+    mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
-    assert!(matches!(mandate.take_predecessors().last, LastOrder::Before(_)));
-    assert_eq!(mandate.take_predecessors().last, LastOrder::NOW);
-    assert_eq!(mandate.predecessors().earlier, LastOrder::NOW);
+    assert!(matches!(mandate.take_predecessors().last_holder, LastOrder::Before(_)));
+    assert_eq!(mandate.take_predecessors().last_holder, LastOrder::NOW);
+    assert_eq!(mandate.predecessors().earlier_holders, LastOrder::NOW);
 }
 
 #[test]
@@ -118,11 +122,11 @@
     let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     let mut mandate = standby(record("vm-1", false));
     take(&mut mandate, ran_out);
-    assert!(!mandate.predecessors().lateness_unknown);
+    assert!(!mandate.predecessors().late_orders_unknown);
     let mut mandate = standby(record("vm-1", true));
-    mandate.note_unreached(Timestamp(9_000));
+    mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
-    assert!(!mandate.predecessors().lateness_unknown);
+    assert!(!mandate.predecessors().late_orders_unknown);
 }
 
 /// Seen in random schedules (301142, 304361): a holder met late orders while the store was away, was
@@ -132,9 +136,9 @@
 fn a_vm_that_saw_no_renewal_reckons_with_late_orders() {
     for vm in ["vm-1", "vm-2"] {
         let mut mandate = started(vm);
-        mandate.note_read(Some(record("vm-1", false)), Timestamp(1_000));
+        mandate.apply_read(Some(record("vm-1", false)), Timestamp(1_000));
         take(&mut mandate, Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN);
-        assert!(mandate.predecessors().lateness_unknown, "{vm}");
+        assert!(mandate.predecessors().late_orders_unknown, "{vm}");
     }
 }
 
@@ -147,7 +151,7 @@
     for (gap, unknown) in [(MANDATE_TTL, false), (MANDATE_TTL * 2, true)] {
         let mut mandate = standby_since(record("vm-1", false), Timestamp(20_000), gap);
         take(&mut mandate, ran_out);
-        assert_eq!(mandate.predecessors().lateness_unknown, unknown, "{gap:?}");
+        assert_eq!(mandate.predecessors().late_orders_unknown, unknown, "{gap:?}");
     }
 }
 
@@ -160,9 +164,9 @@
     next.revision = Revision::without_era(6);
     next.value.renewals += 1;
     next.value.taken = next.value.renewals;
-    mandate.note_read(Some(next), taken);
+    mandate.apply_read(Some(next), taken);
     let write = mandate.due_write(taken + MANDATE_TTL + MANDATE_EXPIRY_MARGIN).unwrap();
     let now = taken + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
-    assert!(mandate.note_written(&write, Some(Revision::without_era(7)), now, now));
-    assert!(mandate.predecessors().lateness_unknown);
+    assert!(mandate.apply_write(&write, Some(Revision::without_era(7)), now, now));
+    assert!(mandate.predecessors().late_orders_unknown);
 }
--- a/crates/nickellead_range/tests/mandate_eras.rs
+++ b/crates/nickellead_range/tests/mandate_eras.rs
@@ -39,9 +39,9 @@
     let mut mandate = started("vm-1");
     let mut before = of_other(FIRST, 50, 20);
     before.value.vacant = true;
-    mandate.note_read(Some(before), TAKEN);
+    mandate.apply_read(Some(before), TAKEN);
     let write = mandate.due_write(TAKEN).unwrap();
-    assert!(mandate.note_written(&write, Some(Revision::new(FIRST, 51)), TAKEN, TAKEN));
+    assert!(mandate.apply_write(&write, Some(Revision::new(FIRST, 51)), TAKEN, TAKEN));
     mandate
 }
 
@@ -50,15 +50,15 @@
 fn a_holder_whose_power_lasts_goes_on_at_once() {
     let mut mandate = holder();
     let back = TAKEN + MANDATE_TTL / 2;
-    mandate.note_era(SECOND, back);
+    mandate.observe_era(SECOND, back);
     assert!(mandate.due_write(back).is_none(), "what it would write over is of an earlier era");
-    assert!(!mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
+    assert!(!mandate.apply_read(Some(of_other(SECOND, 40, 15)), back));
     let write = mandate.due_write(back).unwrap();
     assert_eq!(write.expected, Some(Revision::new(SECOND, 40)));
     assert_eq!((write.record.era, write.record.taken), (SECOND, 21));
     assert!(write.record.renewals > 21, "no renewal is counted twice");
-    mandate.note_written(&write, Some(Revision::new(SECOND, 41)), back, back);
-    assert_eq!(mandate.power(back), MandateAuthority::Full);
+    mandate.apply_write(&write, Some(Revision::new(SECOND, 41)), back, back);
+    assert_eq!(mandate.authority(back), MandateAuthority::Full);
     assert_eq!(mandate.rival_until(), None);
 }
 
@@ -68,17 +68,17 @@
     let mut mandate = holder();
     let over = Duration::from_millis(1_000);
     let back = TAKEN + MANDATE_TTL + over;
-    assert!(!mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
+    assert!(!mandate.apply_read(Some(of_other(SECOND, 40, 15)), back));
     assert!(mandate.due_write(back + over / 2).is_none(), "one with more power left goes first");
     let now = back + over;
     let write = mandate.due_write(now).unwrap();
-    mandate.note_written(&write, Some(Revision::new(SECOND, 41)), now, now);
-    assert_eq!(mandate.power(now), MandateAuthority::RenewalsOnly);
+    mandate.apply_write(&write, Some(Revision::new(SECOND, 41)), now, now);
+    assert_eq!(mandate.authority(now), MandateAuthority::RenewalsOnly);
     let renewed = back + MANDATE_TTL;
     let write = mandate.due_write(renewed).unwrap();
-    mandate.note_written(&write, Some(Revision::new(SECOND, 42)), renewed, renewed);
+    mandate.apply_write(&write, Some(Revision::new(SECOND, 42)), renewed, renewed);
     let settled = back + MANDATE_TTL + MANDATE_EXPIRY_MARGIN * 2;
-    assert_eq!(mandate.power(settled), MandateAuthority::Full);
+    assert_eq!(mandate.authority(settled), MandateAuthority::Full);
     assert!(mandate.rival_until().unwrap() >= back + MANDATE_TTL + RENEWAL_GRACE);
 }
 
@@ -86,7 +86,7 @@
 fn a_holder_whose_grace_is_over_is_none_any_more() {
     let mut mandate = holder();
     let back = TAKEN + MANDATE_TTL + RENEWAL_GRACE;
-    assert!(mandate.note_read(Some(of_other(SECOND, 40, 15)), back));
+    assert!(mandate.apply_read(Some(of_other(SECOND, 40, 15)), back));
     assert!(!mandate.is_held());
 }
 
@@ -96,7 +96,7 @@
     let mut mandate = holder();
     let mut later = of_other(SECOND, 60, 30);
     later.value.taken = 25;
-    assert!(mandate.note_read(Some(later), TAKEN + MANDATE_TTL / 2));
+    assert!(mandate.apply_read(Some(later), TAKEN + MANDATE_TTL / 2));
 }
 
 /// Guards against: a copy says that the mandate was given back, or that a former life of this VM has it,
@@ -108,13 +108,13 @@
         found.value.vm = vm.to_owned();
         found.value.vacant = vacant;
         let mut mandate = started("vm-1");
-        mandate.note_era(FIRST, TAKEN);
-        mandate.note_read(Some(found), TAKEN);
+        mandate.observe_era(FIRST, TAKEN);
+        mandate.apply_read(Some(found), TAKEN);
         let soon = TAKEN + MANDATE_TTL;
         assert!(mandate.due_write(soon).is_none(), "{vm} {vacant}");
         let write = mandate.due_write(soon + MANDATE_EXPIRY_MARGIN).unwrap();
-        mandate.note_written(&write, Some(Revision::new(SECOND, 41)), soon, soon);
-        assert!(mandate.predecessors().lateness_unknown);
+        mandate.apply_write(&write, Some(Revision::new(SECOND, 41)), soon, soon);
+        assert!(mandate.predecessors().late_orders_unknown);
     }
 }
 
@@ -123,8 +123,8 @@
 fn a_newcomer_waits_for_those_who_know_more() {
     let takes_after = |first_era: StoreEra| {
         let mut mandate = started("vm-1");
-        mandate.note_era(first_era, Timestamp(1));
-        mandate.note_read(Some(of_other(SECOND, 40, 15)), TAKEN);
+        mandate.observe_era(first_era, Timestamp(1));
+        mandate.apply_read(Some(of_other(SECOND, 40, 15)), TAKEN);
         (0..)
             .map(|step| TAKEN + Duration::from_millis(100) * step)
             .find(|now| mandate.due_write(*now).is_some() || now.since(TAKEN) > LONG)
@@ -136,16 +136,16 @@
 #[test]
 fn a_mandate_that_is_absent_in_a_later_era_is_waited_for() {
     let mut mandate = started("vm-1");
-    mandate.note_era(SECOND, TAKEN);
-    mandate.note_read(None, TAKEN);
+    mandate.observe_era(SECOND, TAKEN);
+    mandate.apply_read(None, TAKEN);
     assert!(mandate.due_write(TAKEN + MANDATE_TTL).is_none());
     let now = TAKEN + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     let write = mandate.due_write(now).unwrap();
     assert_eq!(write.expected, None);
-    mandate.note_written(&write, Some(Revision::new(SECOND, 1)), now, now);
-    assert!(mandate.predecessors().lateness_unknown);
+    mandate.apply_write(&write, Some(Revision::new(SECOND, 1)), now, now);
+    assert!(mandate.predecessors().late_orders_unknown);
     let mut first = started("vm-1");
-    first.note_era(FIRST, TAKEN);
-    first.note_read(None, TAKEN);
+    first.observe_era(FIRST, TAKEN);
+    first.apply_read(None, TAKEN);
     assert!(first.due_write(TAKEN).is_some(), "a new store has none");
 }
--- a/crates/nickellead_range/tests/map_changes.rs
+++ b/crates/nickellead_range/tests/map_changes.rs
@@ -55,7 +55,7 @@
         let Self(kind, service, key) = *self;
         map.edit += 1;
         map.fence += 1;
-        map.late = key % 2 == 1;
+        map.late_orders = key % 2 == 1;
         let ranges = map.services.entry(SERVICES[service].to_owned()).or_default();
         if kind == EditKind::Divide || ranges.is_empty() {
             *ranges = vec![record(0, u16::MAX, map.fence, 0)];
--- a/crates/nickellead_range/tests/plans.rs
+++ b/crates/nickellead_range/tests/plans.rs
@@ -11,7 +11,7 @@
 
 fn candidates(count: usize) -> Vec<OwnerCandidate> {
     (0..count)
-        .map(|place| OwnerCandidate { holder: holder(place), capacity: 1.0, most: None })
+        .map(|place| OwnerCandidate { target: holder(place), capacity: 1.0, max_load: None })
         .collect()
 }
 
@@ -32,7 +32,7 @@
 #[test]
 fn even_load_moves_nothing() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     assert_eq!(plan_moves(&ranges(4), &candidates(4), &load, 8), []);
 }
 
@@ -40,8 +40,8 @@
 #[test]
 fn a_hot_run_of_keys_is_spread_over_several_targets() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(256).for_each(|key| load.note(key, 1));
-    (1_000..1_200).for_each(|key| load.note(key, 5));
+    (0..=u16::MAX).step_by(256).for_each(|key| load.record(key, 1));
+    (1_000..1_200).for_each(|key| load.record(key, 5));
     let moves = plan_moves(&ranges(4), &candidates(4), &load, 8);
     assert!(moves.len() >= 2, "{moves:?}");
     let moved: u32 = moves.iter().map(|one| u32::from(one.last - one.first) + 1).sum();
@@ -52,7 +52,7 @@
 #[test]
 fn a_newcomer_gets_something_and_ranges_on_the_move_stay() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     let mut owned = ranges(4);
     let moves = plan_moves(&owned, &candidates(5), &load, 8);
     assert!(moves.is_empty() || moves.iter().all(|one| one.to == holder(4)), "{moves:?}");
@@ -63,8 +63,8 @@
 #[test]
 fn the_lightest_target_is_the_one_with_the_least_load_for_what_it_can_do() {
     let mut load = KeyLoad::default();
-    load.note(1, 30);
-    load.note(40_000, 30);
+    load.record(1, 30);
+    load.record(40_000, 30);
     let mut able = candidates(2);
     able[0].capacity = 4.0;
     assert_eq!(least_loaded_owner(&ranges(2), &able, &load), Some(holder(0)));
@@ -75,8 +75,8 @@
 #[test]
 fn hot_keys_heavier_than_a_fair_share_are_spread_one_by_one() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
-    (4_827..4_887).for_each(|key| load.note(key, 60));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
+    (4_827..4_887).for_each(|key| load.record(key, 60));
     let (owned, able) = (ranges(100), candidates(100));
     let moves = plan_moves(&owned, &able, &load, 14);
     assert_eq!(moves.len(), 14, "{moves:?}");
@@ -90,9 +90,9 @@
 #[test]
 fn a_target_that_cannot_be_relieved_does_not_stop_the_others() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
-    load.note(0, 5_000);
-    (20_000..20_200).for_each(|key| load.note(key, 5));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
+    load.record(0, 5_000);
+    (20_000..20_200).for_each(|key| load.record(key, 5));
     let mut owned = ranges(10);
     // The heavy key is alone in its range and with its owner.
     owned[0].last = 0;
@@ -107,8 +107,8 @@
 #[test]
 fn a_hot_key_goes_to_the_target_that_bears_it_best() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
-    load.note(40, 4_000);
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
+    load.record(40, 4_000);
     let mut able = candidates(10);
     // Slow and without any load, so the lightest; number 9 is three times as fast as the others.
     able[4].capacity = 0.5;
@@ -128,8 +128,8 @@
 fn chance_moves_nothing() {
     let mut load = KeyLoad::default();
     // 16 samples for each of 64 targets, and 24 for one of them.
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
-    (0..512_u16).step_by(64).for_each(|key| load.note(key + 1, 1));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
+    (0..512_u16).step_by(64).for_each(|key| load.record(key + 1, 1));
     assert_eq!(plan_moves(&ranges(64), &candidates(64), &load, 8), []);
 }
 
@@ -153,9 +153,9 @@
 #[test]
 fn owners_that_name_limits_keep_what_they_bear_and_put_no_other_one_in_need() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     let mut able = candidates(8);
-    (able[0].most, able[1].most) = (Some(30.0), Some(100.0));
+    (able[0].max_load, able[1].max_load) = (Some(30.0), Some(100.0));
     let owned = ranges(8);
     let moves = plan_moves(&owned, &able, &load, 16);
     assert!(moves.iter().all(|one| one.to != holder(0) && one.to != holder(1)), "{moves:?}");
@@ -168,10 +168,10 @@
 #[test]
 fn an_owner_that_bears_nothing_gives_its_keys_away_though_few_ask_for_them() {
     let mut load = KeyLoad::default();
-    load.note(1, 3);
-    (20_000..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
+    load.record(1, 3);
+    (20_000..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     let mut able = candidates(4);
-    able[0].most = Some(0.0);
+    able[0].max_load = Some(0.0);
     let moves = plan_moves(&ranges(4), &able, &load, 8);
     assert!(moves.iter().any(|one| one.first <= 1 && 1 <= one.last), "{moves:?}");
     assert!(moves.iter().all(|one| one.to != holder(0)), "{moves:?}");
@@ -180,8 +180,8 @@
 #[test]
 fn owners_that_all_bear_less_than_is_asked_for_move_nothing_to_and_fro() {
     let mut load = KeyLoad::default();
-    (0..=u16::MAX).step_by(64).for_each(|key| load.note(key, 1));
+    (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     let mut able = candidates(4);
-    able.iter_mut().for_each(|one| one.most = Some(40.0));
+    able.iter_mut().for_each(|one| one.max_load = Some(40.0));
     assert_eq!(plan_moves(&ranges(4), &able, &load, 8), []);
 }
--- a/crates/nickellead_range/tests/world/mod.rs
+++ b/crates/nickellead_range/tests/world/mod.rs
@@ -41,11 +41,11 @@
 /// The keeper's settings in the world.
 pub fn settings() -> ControllerSettings {
     ControllerSettings {
-        hold: Duration::from_millis(4_500),
-        renewal: Duration::from_millis(1_000),
-        retry: Duration::from_millis(200),
+        lease: Duration::from_millis(4_500),
+        renewal_interval: Duration::from_millis(1_000),
+        retry_interval: Duration::from_millis(200),
         margin: Duration::from_millis(300),
-        lateness: Duration::from_millis(12_500),
+        max_lateness: Duration::from_millis(12_500),
         drift: DriftBound { parts_per_million: 25_000 },
     }
 }
@@ -226,9 +226,9 @@
             target.is_up(self.now) && !self.has(Trouble::TargetUnlisted(*place))
         };
         let candidate = |place: usize| OwnerCandidate {
-            holder: self.targets[place].holder(),
+            target: self.targets[place].holder(),
             capacity: 1.0,
-            most: None,
+            max_load: None,
         };
         (0..self.targets.len()).filter(listed).map(candidate).collect()
     }
@@ -349,7 +349,7 @@
 
     /// Sends an order; gives the outcome when it is known at once.
     pub fn send_order(&mut self, vm: usize, order: &RangeOrder) -> Option<OrderOutcome> {
-        let place = target::place_of(&order.holder);
+        let place = target::place_of(&order.target);
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} vm {vm} sends {order:?}", self.now);
         }
@@ -382,11 +382,11 @@
     }
 
     fn carry_out(&mut self, order: &RangeOrder) -> OrderOutcome {
-        let place = target::place_of(&order.holder);
+        let place = target::place_of(&order.target);
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} deliver {order:?}", self.now);
         }
-        let hold = settings().hold.as_millis() as u64;
+        let hold = settings().lease.as_millis() as u64;
         let outcome = self.targets[place].carry_out(order, hold, self.now);
         if matches!(order.kind, nickellead_range::OrderKind::Grant(_))
             && matches!(outcome, OrderOutcome::Done(_))
--- a/crates/nickellead_range/tests/world/target.rs
+++ b/crates/nickellead_range/tests/world/target.rs
@@ -86,7 +86,7 @@
         if !self.is_up(now) {
             return OrderOutcome::Unanswered;
         }
-        if order.holder != self.holder() {
+        if order.target != self.holder() {
             return OrderOutcome::Ended;
         }
         let blocks = &mut self.blocks[blocks(order)];
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/world/vm.rs
@@ -59,23 +59,28 @@
 impl WorldVm {
     /// Takes in what became of an order.
     fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
-        self.lateness.note(order, &outcome, now, settings().late_lease_bound(now));
+        self.lateness.observe_outcome(order, &outcome, now, settings().late_lease_bound(now));
         if let Some(keeper) = &mut self.keeper {
-            keeper.note_outcome(order, outcome, now);
+            keeper.apply_outcome(order, outcome, now);
         }
     }
 
     /// Takes in a map that was written.
     pub fn note_told(&mut self, map: &Stored<RangeMap>) {
-        if self.told.as_ref().is_none_or(|told| told.order() < map.order()) {
-            self.told = Some(Stored { revision: map.order(), value: map.value.clone() });
+        if self
+            .told
+            .as_ref()
+            .is_none_or(|told| told.effective_revision() < map.effective_revision())
+        {
+            self.told =
+                Some(Stored { revision: map.effective_revision(), value: map.value.clone() });
         }
     }
 
     pub fn describe(&self, now: Timestamp) -> String {
         format!(
             "{:?} mandate={:?} map={:?} keeper={:#?}",
-            self.mandate.power(now),
+            self.mandate.authority(now),
             self.mandate,
             self.map_revision,
             self.keeper
@@ -91,7 +96,7 @@
     let now = world.time();
     send_pending(world, place, now);
     step_mandate(world, place, now);
-    let power = world.vms[place].mandate.power(now);
+    let power = world.vms[place].mandate.authority(now);
     let outcomes = std::mem::take(&mut world.vms[place].outcomes);
     let vm = &mut world.vms[place];
     if !vm.mandate.is_held() {
@@ -121,8 +126,8 @@
 
 fn send_pending(world: &mut World, place: usize, now: Timestamp) {
     for order in std::mem::take(&mut world.vms[place].pending) {
-        let power = world.vms[place].mandate.power(now);
-        let stale = now.since(order.decided) > AGE_MOST;
+        let power = world.vms[place].mandate.authority(now);
+        let stale = now.since(order.decided_at) > AGE_MOST;
         let outcome = match power == MandateAuthority::None || stale {
             true => Some(OrderOutcome::NotSent),
             false => world.send_order(place, &order),
@@ -143,21 +148,21 @@
     world.vms[place].mandate_due = world.now + pause.as_millis() as u64 + spread;
     if !held || world.vms[place].mandate.is_outdated() {
         if world.call_store(place).is_err() {
-            world.vms[place].mandate.note_unreached(now);
+            world.vms[place].mandate.observe_store_failure(now);
             return;
         }
         let read = world.store.mandate.clone();
         let era = world.store.era;
-        world.vms[place].mandate.note_reached(now);
-        world.vms[place].mandate.note_era(era, now);
-        if world.vms[place].mandate.note_read(read, now) {
+        world.vms[place].mandate.observe_store_response(now);
+        world.vms[place].mandate.observe_era(era, now);
+        if world.vms[place].mandate.apply_read(read, now) {
             world.vms[place].keeper = None;
         }
     }
     let Some(write) = world.vms[place].mandate.due_write(now) else { return };
     let answer = world.call_write_mandate(place, write.expected, &write.record);
     let revision = answer.unwrap_or(None);
-    let taken = world.vms[place].mandate.note_written(&write, revision, now, now);
+    let taken = world.vms[place].mandate.apply_write(&write, revision, now, now);
     if taken {
         if std::env::var_os("TRACE").is_some() {
             let predecessors = world.vms[place].mandate.predecessors();
@@ -167,8 +172,8 @@
     }
     if revision.is_none() && world.call_store(place).is_ok() {
         let (read, era) = (world.store.mandate.clone(), world.store.era);
-        world.vms[place].mandate.note_era(era, now);
-        if world.vms[place].mandate.note_read(read, now) {
+        world.vms[place].mandate.observe_era(era, now);
+        if world.vms[place].mandate.apply_read(read, now) {
             world.vms[place].keeper = None;
         }
     }
@@ -189,8 +194,7 @@
         vm.read_back_at = None;
         let predecessors = vm.mandate.take_predecessors();
         let lateness = &mut vm.lateness;
-        let keeper =
-            RangeController::take_over(settings(), predecessors, map, writer, lateness, now);
+        let keeper = RangeController::inherit(settings(), predecessors, map, writer, lateness, now);
         vm.keeper = Some(keeper);
     }
     let (era, rival_until) =
@@ -203,7 +207,7 @@
     let pick = candidates.get(world.rng.usize(..candidates.len().max(1))).cloned();
     let vm = &mut world.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
-    keeper.set_candidates(SERVICE, &candidates, |_, _, _| pick.clone().map(|one| one.holder));
+    keeper.set_candidates(SERVICE, &candidates, |_, _, _| pick.clone().map(|one| one.target));
     if let Some(proposal) = proposal {
         keeper.start_moves(SERVICE, &[proposal]);
         keeper.merge();
@@ -220,7 +224,7 @@
     }
     let first = world.rng.u32(..BLOCKS as u32);
     let last = world.rng.u32(first..BLOCKS as u32);
-    let to = candidates[world.rng.usize(..candidates.len())].holder.clone();
+    let to = candidates[world.rng.usize(..candidates.len())].target.clone();
     let (first, last) = (first * BLOCK_KEYS, (last + 1) * BLOCK_KEYS - 1);
     Some(MoveProposal { first: first as u16, last: last as u16, to })
 }
@@ -243,7 +247,7 @@
             let vm = &mut world.vms[place];
             vm.map_revision = Some(revision);
             if let Some(keeper) = &mut vm.keeper {
-                keeper.note_written(edit);
+                keeper.confirm_write(edit);
             }
             world.tell_map(place, &Stored { revision, value: map });
         }
@@ -257,17 +261,17 @@
     let vm = &mut world.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
     match classify_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
-        WriteOutcome::Done { revision, edit } => {
+        WriteOutcome::Written { revision, edit } => {
             vm.map_revision = Some(revision);
-            keeper.note_written(edit);
+            keeper.confirm_write(edit);
             if let Some(found) = found {
                 world.tell_map(place, &found);
             }
         }
         WriteOutcome::Superseded => vm.keeper = None,
-        WriteOutcome::Undone(expected) => {
+        WriteOutcome::NotWritten(expected) => {
             vm.map_revision = expected;
-            keeper.note_write_failed();
+            keeper.abort_write();
         }
     }
 }
