--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -126,8 +126,9 @@
         if staying.is_empty() {
             return;
         }
-        let gap_percent = if rebalances { RebalanceLimits::default().gap_percent } else { 100 };
-        let limits = RebalanceLimits { moves: self.settings.moves, gap_percent };
+        let gap_percent = if rebalances { RebalanceLimits::default().min_gap_percent } else { 100 };
+        let limits =
+            RebalanceLimits { max_moves: self.settings.moves, min_gap_percent: gap_percent };
         let plans = plan_moves(&leaving, &mut staying, limits);
         self.begin_moves(service, &plans, now);
     }
--- a/crates/nickellead_placement/src/assign.rs
+++ b/crates/nickellead_placement/src/assign.rs
@@ -15,7 +15,7 @@
     let mut heap: BinaryHeap<_> = loads
         .iter()
         .enumerate()
-        .map(|(place, load)| Reverse((load.ratio(load.shards + 1), load.target, place)))
+        .map(|(place, load)| Reverse((load.load_per_slot(load.shards + 1), load.target, place)))
         .collect();
     let mut owners = Vec::with_capacity(count);
     while owners.len() < count {
@@ -25,7 +25,7 @@
         let load = &mut loads[place];
         load.shards += 1;
         owners.push(target);
-        heap.push(Reverse((load.ratio(load.shards + 1), target, place)));
+        heap.push(Reverse((load.load_per_slot(load.shards + 1), target, place)));
     }
     owners
 }
--- a/crates/nickellead_placement/src/lib.rs
+++ b/crates/nickellead_placement/src/lib.rs
@@ -25,7 +25,7 @@
 impl TargetLoad {
     /// Load per slot once the target holds `shards`, scaled so that it compares exactly.
     #[must_use]
-    pub fn ratio(&self, shards: u32) -> u64 {
+    pub fn load_per_slot(&self, shards: u32) -> u64 {
         const SCALE: u64 = 1 << 20;
         u64::from(shards) * SCALE / u64::from(self.slots.max(1))
     }
--- a/crates/nickellead_placement/src/rebalance.rs
+++ b/crates/nickellead_placement/src/rebalance.rs
@@ -17,14 +17,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RebalanceLimits {
     /// Most moves of one plan.
-    pub moves: usize,
+    pub max_moves: usize,
     /// Least gap between the fullest and the emptiest, in percent of the fullest.
-    pub gap_percent: u8,
+    pub min_gap_percent: u8,
 }
 
 impl Default for RebalanceLimits {
     fn default() -> Self {
-        Self { moves: 64, gap_percent: 5 }
+        Self { max_moves: 64, min_gap_percent: 5 }
     }
 }
 
@@ -38,9 +38,9 @@
     staying: &mut [TargetLoad],
     limits: RebalanceLimits,
 ) -> Vec<MovePlan> {
-    let mut plans = plan_leaving(leaving, staying, limits.moves);
-    while plans.len() < limits.moves {
-        let Some(plan) = plan_one(staying, limits.gap_percent) else {
+    let mut plans = plan_leaving(leaving, staying, limits.max_moves);
+    while plans.len() < limits.max_moves {
+        let Some(plan) = plan_one(staying, limits.min_gap_percent) else {
             break;
         };
         plans.push(plan);
@@ -62,10 +62,10 @@
     let fullest = position_of(loads, |load, other| load > other)?;
     let emptiest = position_of(loads, |load, other| load < other)?;
     let (from, to) = (loads[fullest], loads[emptiest]);
-    let high = from.ratio(from.shards);
-    let low = to.ratio(to.shards);
+    let high = from.load_per_slot(from.shards);
+    let low = to.load_per_slot(to.shards);
     let gap = high.saturating_sub(low);
-    let improves = to.ratio(to.shards + 1) < high;
+    let improves = to.load_per_slot(to.shards + 1) < high;
     if !improves || gap * 100 <= high * u64::from(gap_percent) {
         return None;
     }
@@ -77,8 +77,8 @@
 fn position_of(loads: &[TargetLoad], better: impl Fn(u64, u64) -> bool) -> Option<usize> {
     let mut best: Option<usize> = None;
     for (place, load) in loads.iter().enumerate() {
-        let ratio = load.ratio(load.shards);
-        if best.is_none_or(|known| better(ratio, loads[known].ratio(loads[known].shards))) {
+        let ratio = load.load_per_slot(load.shards);
+        if best.is_none_or(|known| better(ratio, loads[known].load_per_slot(loads[known].shards))) {
             best = Some(place);
         }
     }
--- a/crates/nickellead_placement/tests/policy.rs
+++ b/crates/nickellead_placement/tests/policy.rs
@@ -13,7 +13,7 @@
     shards.iter().enumerate().map(load).collect()
 }
 
-const WIDE: RebalanceLimits = RebalanceLimits { moves: 1_000, gap_percent: 5 };
+const WIDE: RebalanceLimits = RebalanceLimits { max_moves: 1_000, min_gap_percent: 5 };
 
 #[test]
 fn shards_without_owner_are_spread_evenly_and_by_slots() {
@@ -53,7 +53,7 @@
     let leaving = loads(&[70]);
     let mut staying = loads(&[0, 50, 50]);
     staying.remove(0);
-    let limits = RebalanceLimits { moves: 64, gap_percent: 5 };
+    let limits = RebalanceLimits { max_moves: 64, min_gap_percent: 5 };
     assert_eq!(plan_moves(&leaving, &mut staying.clone(), limits).len(), 64);
     assert_eq!(plan_moves(&leaving, &mut staying, WIDE).len(), 70);
 }
--- a/examples/placement/01_join_and_leave.rs
+++ b/examples/placement/01_join_and_leave.rs
@@ -11,7 +11,7 @@
 }
 
 fn main() {
-    let limits = RebalanceLimits { moves: 1_000, gap_percent: 5 };
+    let limits = RebalanceLimits { max_moves: 1_000, min_gap_percent: 5 };
     let mut staying = vec![load(1, 100), load(2, 100), load(3, 100), load(4, 0)];
     let plans = plan_moves(&[], &mut staying, limits);
     println!("target 4 joins: {} moves, then {:?}", plans.len(), shards(&staying));
