--- a/crates/nickellead_range/src/lib.rs
+++ b/crates/nickellead_range/src/lib.rs
@@ -1,11 +1,10 @@
-//! Who owns which range of keys, when targets take grants with a hold time.
+//! Ownership of key ranges by targets that hold time-limited grants.
 //!
-//! A target holds a range of a service's numeric key space for a hold time
-//! that starts when a grant arrives. It refuses a grant whose fence is lower
-//! than one it has seen. [`RangeMap`] is what the store keeps; the
-//! [`RangeController`] decides every order and every write of the map. Its
-//! functions take the time and what happened, and return what is to be done:
-//! nothing here does input or output or reads a clock.
+//! A target owns a range of a service's numeric key space for a lease that starts when a grant
+//! arrives, and refuses any grant whose fence is lower than one it has seen. The store keeps the
+//! [`RangeMap`]; the [`RangeController`] of the VM that holds the mandate (leader lease) decides
+//! every order to a target and every write of the map. Nothing here does input or output or reads
+//! a clock: functions take the time and the events and return what to do.
 
 mod change;
 mod controller;
