--- a/crates/nickellead_range/src/stored.rs
+++ b/crates/nickellead_range/src/stored.rs
@@ -1,4 +1,4 @@
-//! Documents of the store, as far as ownership needs them.
+//! Documents of the store that range ownership depends on.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 
 use crate::RangeMap;
 
-/// Between two returns of the store from an older copy: each return begins the next era.
+/// Restore generation of the store: each restore from an older copy begins the next era.
 ///
-/// Revisions grow within an era only. What the store had acknowledged and its copy does not hold is lost, and
-/// revisions that were given to it are given out again. 0 for a store that tells no eras.
+/// Revisions grow only within an era. A restore loses the acknowledged writes that are missing in
+/// the copy, and the store assigns their revisions again. 0 for a store that reports no eras.
 #[derive(
     Clone,
     Copy,
@@ -29,20 +29,20 @@
 pub struct StoreEra(pub u64);
 
 impl StoreEra {
-    /// Whether it is that of a store which tells no eras.
+    /// Whether the store reports no eras.
     #[must_use]
     pub(crate) const fn is_none(&self) -> bool {
         self.0 == 0
     }
 
-    /// Whether a store that never came back from a copy may tell this era: what is not there was never made.
+    /// Whether the store may never have been restored, so that an absent object never existed.
     #[must_use]
     pub const fn may_be_first(self) -> bool {
         self.0 <= 1
     }
 }
 
-/// Revision of the store: grows with each change, and begins anew with each era, which goes first.
+/// Revision of the store, ordered by era first: the number grows with each change within an era.
 #[derive(
     Clone,
     Copy,
@@ -58,20 +58,20 @@
     Decode,
 )]
 pub struct Revision {
-    /// The era in which the store gave it.
+    /// The era in which the store assigned the number.
     pub era: StoreEra,
-    /// Its number in that era.
+    /// Number of the revision within the era.
     pub number: u64,
 }
 
 impl Revision {
-    /// A revision of this era.
+    /// A revision within `era`.
     #[must_use]
     pub const fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// A revision of a store that tells no eras.
+    /// A revision of a store that reports no eras.
     #[must_use]
     pub const fn without_era(number: u64) -> Self {
         Self::new(StoreEra(0), number)
@@ -90,37 +90,37 @@
     }
 }
 
-/// A document with the revision of its last change.
+/// A document together with its revision in the store.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Stored<T> {
-    /// Revision of its last change.
+    /// Revision of the document's last change.
     pub revision: Revision,
     /// The document.
     pub value: T,
 }
 
-/// Which VM decides about ranges.
+/// The mandate (leader lease): names the VM that decides about ranges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct MandateRecord {
     /// Name of the VM.
     pub vm: String,
-    /// Where it tells other VMs what it knows.
+    /// Address on which the VM publishes its cluster state to other VMs.
     pub address: SocketAddr,
-    /// Life of its process.
+    /// Identifies one run of the VM's process.
     pub incarnation: u64,
-    /// Grows with each renewal, so that every renewal changes the object.
+    /// Incremented by each renewal, so that every renewal changes the object.
     pub renewals: u64,
-    /// What `renewals` was when the holder took it.
+    /// Value of `renewals` when the mandate holder took the mandate.
     pub taken: u64,
-    /// Whether the holder has given the mandate back.
+    /// Whether the mandate holder has given the mandate back.
     pub vacant: bool,
-    /// The store's era in which it was written, as its writer knew it.
+    /// The store's era when the record was written, as known to its writer.
     #[serde(default, skip_serializing_if = "StoreEra::is_none")]
     pub era: StoreEra,
 }
 
 impl Stored<MandateRecord> {
-    /// Whether it was written in an earlier era than the one in which it was found: what followed on it
+    /// Whether the record was written in an earlier era than it was read in, so that later records
     /// may have been lost.
     #[must_use]
     pub fn is_from_earlier_era(&self) -> bool {
@@ -129,14 +129,17 @@
 }
 
 impl Stored<RangeMap> {
-    /// The same of a map.
+    /// Whether the map was written in an earlier era than it was read in, so that later maps may
+    /// have been lost.
     #[must_use]
     pub fn is_from_earlier_era(&self) -> bool {
         self.value.era < self.revision.era
     }
 
-    /// Where the map stands in the order of all maps: one that a copy brought back stands where it was
-    /// written, behind those that followed on it and were lost.
+    /// The revision that orders the map among all maps ever written.
+    ///
+    /// A restored map keeps the era in which it was written and so precedes the maps that were
+    /// written after it and lost.
     #[must_use]
     pub fn effective_revision(&self) -> Revision {
         Revision { era: self.value.era.min(self.revision.era), ..self.revision }
