--- a/crates/nickellead_range/src/map.rs
+++ b/crates/nickellead_range/src/map.rs
@@ -1,4 +1,4 @@
-//! The map of ranges as the store keeps it.
+//! The map of range owners, as stored.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,43 @@
 
 use crate::StoreEra;
 
-/// Keys in a service's key space: every `u16` is one.
+/// Number of keys in a service's key space, which is the whole of `u16`.
 pub(crate) const KEY_COUNT: u32 = 65_536;
 
-/// A target as a holder of ranges: one life of one process.
+/// One run of a target's process, which may own ranges.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct TargetInstance {
-    /// Identity of the target.
+    /// Identity under which the target registers; its next instance may reuse it.
     pub id: String,
-    /// When this life of it started, as it says itself; `None` if it never keeps an identity.
+    /// When the instance started, as reported by the target; `None` if every instance has an
+    /// identity of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<u64>,
-    /// Where it listens, as `host:port`.
+    /// Listening address, as `host:port`.
     pub address: String,
 }
 
-/// One run of keys with one owner.
+/// A run of consecutive keys with one owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct RangeRecord {
-    /// First key of the range.
+    /// First key, included.
     pub first: u16,
-    /// Last key of the range, included.
+    /// Last key, included.
     pub last: u16,
-    /// Fencing token under which the owner holds or will hold the range.
+    /// Fencing token of the owner's current or next grant.
     pub fence: u64,
-    /// Who holds the range, or will once the move is over.
+    /// The instance that owns the range, or will own it once the move completes.
     pub owner: Option<TargetInstance>,
-    /// Who may still hold the range under a lower fence; `None` once that is ruled out.
+    /// The previous owner while it may still hold the range under a lower fence.
     pub previous: Option<TargetInstance>,
-    /// Whether the owner has confirmed its grant.
+    /// Whether the owner has confirmed a grant.
     pub settled: bool,
 }
 
 impl RangeRecord {
-    /// Whether the range holds a key.
+    /// Whether `key` is in the range.
     #[must_use]
     pub fn contains(&self, key: u16) -> bool {
         self.first <= key && key <= self.last
@@ -52,43 +53,43 @@
 /// The ranges of one service, in order of their keys and without gaps.
 pub type ServiceRanges = Vec<RangeRecord>;
 
-/// All ranges of all services that are divided by key.
+/// The ranges of all services that are divided by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct RangeMap {
-    /// Highest fence ever handed out; the next one is above it.
+    /// Highest fence ever issued.
     pub fence: u64,
-    /// The keeper that wrote the map, drawn at random when it took over.
+    /// Random identifier of the controller that wrote the map, drawn when it took over.
     pub writer: u64,
-    /// Number of the writer's edit, so that a write whose answer was lost is recognised.
+    /// Number of the writer's edit, which identifies a write whose response was lost.
     pub edit: u64,
-    /// Whether targets were seen to carry out orders late, so that a successor reckons with it.
+    /// Whether targets have been observed to execute orders late; a successor allows for it.
     #[serde(default, rename = "late")]
     pub late_orders: bool,
-    /// The store's era in which it was written, as its writer knew it.
+    /// The store's era when the map was written, as known to its writer.
     #[serde(default, skip_serializing_if = "StoreEra::is_none")]
     pub era: StoreEra,
-    /// Whether other targets than those that it names may hold its ranges, as what was written before it is
-    /// lost with an earlier era: a successor reckons with it as well.
+    /// Whether targets that the map does not name may hold its ranges, because a restore of the
+    /// store lost earlier maps; a successor allows for it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "doubtful")]
     pub unconfirmed: bool,
-    /// The ranges by service.
+    /// The ranges of each service, by its name.
     pub services: BTreeMap<String, ServiceRanges>,
 }
 
-/// Fences of an era are larger than all of the eras before it by numbers of this many bits.
+/// Number of low fence bits that count fences within an era; the bits above hold the era.
 const ERA_FENCE_BITS: u32 = 24;
-/// Eras from this one on share the fences of the last one before: JSON keeps whole numbers exactly below
-/// 2^53 only.
-const FENCE_ERAS: u64 = 1 << (53 - ERA_FENCE_BITS);
+/// Number of eras with fences of their own; later eras share those of the last one, because JSON
+/// represents integers exactly only below 2^53.
+const FENCE_ERA_COUNT: u64 = 1 << (53 - ERA_FENCE_BITS);
 
 impl RangeMap {
-    /// Makes it a map of an era: fences that were handed out in the eras before, and of which the store
-    /// knows nothing any more, are below the next one. Tells whether it was one of an earlier era.
+    /// Moves the map to `era`, where every new fence is above those issued in earlier eras,
+    /// including those the store has lost. Returns whether the map was of an earlier era.
     pub(crate) fn enter_era(&mut self, era: StoreEra) -> bool {
         let entered = self.era < era;
         if entered {
             self.era = era;
-            self.fence = self.fence.max(era.0.min(FENCE_ERAS - 1) << ERA_FENCE_BITS);
+            self.fence = self.fence.max(era.0.min(FENCE_ERA_COUNT - 1) << ERA_FENCE_BITS);
         }
         entered
     }
@@ -98,11 +99,11 @@
         self.services.values().flatten().map(|range| range.fence)
     }
 
-    /// The range of a service that holds a key.
+    /// The range of `service` that contains `key`.
     #[must_use]
     pub fn find(&self, service: &str, key: u16) -> Option<&RangeRecord> {
         let ranges = self.services.get(service)?;
-        let place = ranges.partition_point(|range| range.last < key);
-        ranges.get(place).filter(|range| range.contains(key))
+        let index = ranges.partition_point(|range| range.last < key);
+        ranges.get(index).filter(|range| range.contains(key))
     }
 }
