--- a/crates/nickellead_range/src/mandate.rs
+++ b/crates/nickellead_range/src/mandate.rs
@@ -385,8 +385,8 @@
         };
         let last_one = if stopped { earlier } else { full + grace };
         PredecessorBounds {
-            last_holder: LastOrder::of_power(last_one, passed),
-            earlier_holders: LastOrder::of_power(earlier, passed),
+            last_holder: LastOrder::at_authority_end(last_one, passed),
+            earlier_holders: LastOrder::at_authority_end(earlier, passed),
             late_orders_unknown: (of_copy || self.is_lateness_unknown(last))
                 && enforced!("unknown_lateness"),
         }
@@ -402,7 +402,7 @@
             };
         };
         let power = CLOCK_DRIFT.stretch(MANDATE_TTL + RENEWAL_GRACE) + MANDATE_EXPIRY_MARGIN;
-        let last = LastOrder::of_power(power, now.since(since));
+        let last = LastOrder::at_authority_end(power, now.since(since));
         PredecessorBounds { last_holder: last, earlier_holders: last, late_orders_unknown: true }
     }
 
--- a/crates/nickellead_range/src/predecessors.rs
+++ b/crates/nickellead_range/src/predecessors.rs
@@ -1,28 +1,28 @@
-//! What those who held the mandate before may have done, and may do yet.
+//! Bounds on what earlier holders of the mandate (leader lease) have sent or may still send.
 
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
 
-/// When an order is sent at the latest, beside the moment at which the mandate is taken.
+/// Latest time at which an order is sent, relative to when the mandate is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LastOrder {
-    /// This long ago.
+    /// This long before the mandate is taken.
     Before(Duration),
-    /// This long from now on.
+    /// This long after the mandate is taken.
     After(Duration),
 }
 
 impl LastOrder {
-    /// An order that is sent when this moment comes at the latest.
+    /// No order is sent once the mandate is taken.
     pub const NOW: Self = Self::After(Duration::ZERO);
 
-    /// The latest moment, `now` being when the mandate is taken or later.
+    /// The latest time at which the order is sent; `now` is when the mandate is taken or later.
     #[must_use]
     pub fn latest(self, now: Timestamp) -> Timestamp {
         match self {
-            Self::Before(length) => Timestamp(now.0.saturating_sub(length.as_millis() as u64)),
-            Self::After(length) => now + length,
+            Self::Before(elapsed) => Timestamp(now.0.saturating_sub(elapsed.as_millis() as u64)),
+            Self::After(remaining) => now + remaining,
         }
     }
 
@@ -33,23 +33,25 @@
         }
     }
 
-    /// The end of a power that lasts for `power`, of which `passed` is over.
-    pub(crate) fn of_power(power: Duration, passed: Duration) -> Self {
-        match passed.checked_sub(power) {
-            Some(over) => Self::Before(over),
-            None => Self::After(power - passed),
+    /// The end of an authority that lasts for `duration`, of which `elapsed` has passed.
+    pub(crate) fn at_authority_end(duration: Duration, elapsed: Duration) -> Self {
+        match elapsed.checked_sub(duration) {
+            Some(since_end) => Self::Before(since_end),
+            None => Self::After(duration - elapsed),
         }
     }
 }
 
-/// What those who held the mandate before may have done that the store does not tell.
+/// Bounds on the orders of earlier mandate holders that the store does not record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PredecessorBounds {
-    /// When the last one, and so any of them, sends its last renewal at the latest.
+    /// When the last mandate holder, and so every earlier one, sends its last renewal at the
+    /// latest.
     pub last_holder: LastOrder,
-    /// When the last one sent its last order to holders that it was about to replace, and those
-    /// before it their last renewal, at the latest.
+    /// When the last mandate holder sent its last order to owners that it was replacing, and the
+    /// mandate holders before it sent their last renewal, at the latest.
     pub earlier_holders: LastOrder,
-    /// Whether the last one may have met late orders while it could not write this down.
+    /// Whether the last mandate holder may have seen late orders that it could not record in the
+    /// store.
     pub late_orders_unknown: bool,
 }
