--- a/crates/nickellead_range/src/late_orders.rs
+++ b/crates/nickellead_range/src/late_orders.rs
@@ -1,11 +1,10 @@
-//! Telling targets that carry orders out late from targets that are lost or overloaded.
+//! Detection of targets that execute orders late, as opposed to lost or overloaded ones.
 //!
-//! A target that leaves an order unanswered and answers the next one works on,
-//! so the unanswered order may be carried out seconds later. One such sign may
-//! also be a target too busy to take a connection; orders that are late all
-//! over show at several targets at once, and in a good part of the orders to
-//! targets that work. Targets that answer nothing are lost or cut off, however
-//! many they are: their silence says nothing of the others.
+//! A target that leaves an order unanswered and answers the next one is still running, so it may
+//! execute the unanswered order seconds later. A single such target may just be too busy to accept
+//! a connection. Late execution everywhere is assumed only when several targets show this pattern
+//! and a significant fraction of the orders to running targets stay unanswered. Targets that
+//! answer nothing are lost or disconnected and do not count, however many they are.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -14,125 +13,128 @@
 
 use crate::{OrderKind, OrderOutcome, RangeOrder};
 
-/// How far back outcomes count.
-const WINDOW: Duration = Duration::from_millis(4_000);
-/// Targets that must show the sign within the window.
-const TARGETS_LEAST: usize = 2;
-/// Part of the grants to targets that work on, in the window, that must be silent.
-const SILENT_PART: f64 = 0.08;
+/// Age up to which outcomes are considered.
+const OUTCOME_WINDOW: Duration = Duration::from_millis(4_000);
+/// Minimum number of targets that answer after an unanswered grant within the window.
+const MIN_LATE_TARGETS: usize = 2;
+/// Minimum fraction, of the grants to running targets in the window, that is unanswered.
+const MIN_UNANSWERED_FRACTION: f64 = 0.08;
 
-/// What became of one grant.
 #[derive(Clone, Debug)]
 struct GrantOutcome {
     at: Timestamp,
     target: String,
-    silent: bool,
+    unanswered: bool,
 }
 
-/// What one process knows of late orders; it outlives the keepers that the process makes.
+/// Late-order statistics of one process; they outlive the controllers that the process creates.
 #[derive(Clone, Debug, Default)]
 pub struct LateOrderDetector {
-    /// Targets whose last grant was silent.
-    silent: BTreeSet<String>,
-    /// Grants that were answered or met silence, by time.
+    /// Targets that left their last grant unanswered.
+    unanswered: BTreeSet<String>,
+    /// Grants that were answered or left unanswered, by time.
     outcomes: VecDeque<GrantOutcome>,
-    /// Targets that answered after a silence, by time.
-    signs: VecDeque<(Timestamp, String)>,
-    /// Until when any unanswered order may still be carried out.
+    /// Targets that answered after an unanswered grant, by time of the answer.
+    recoveries: VecDeque<(Timestamp, String)>,
+    /// Until when any target may execute an unanswered order.
     late_until: Timestamp,
-    /// Targets that answered after a silence, and until when their unanswered orders may be
-    /// carried out.
+    /// Until when single targets that answered after an unanswered grant may execute one.
     late_targets: BTreeMap<String, Timestamp>,
 }
 
 impl LateOrderDetector {
-    /// Whether any target may still carry out an order that it left unanswered.
+    /// Whether any target may still execute an order that it left unanswered.
     #[must_use]
     pub fn is_late(&self, now: Timestamp) -> bool {
         now < self.late_until
     }
 
-    /// Whether this target may.
+    /// Whether `target` may still execute an order that it left unanswered.
     #[must_use]
     pub fn is_target_late(&self, target: &str, now: Timestamp) -> bool {
         self.is_late(now) || self.late_targets.get(target).is_some_and(|until| now < *until)
     }
 
-    /// Reckons with late orders of all targets until then.
+    /// Assumes late orders at all targets until the given time.
     pub fn assume_late_until(&mut self, until: Timestamp) {
         self.late_until = self.late_until.max(until);
     }
 
-    /// Takes in the outcome of an order; the debts of those sent until now end at `longest`.
+    /// Processes the outcome of an order.
+    ///
+    /// Late orders that were sent until `now` have no effect after `late_lease_bound`.
     pub fn observe_outcome(
         &mut self,
         order: &RangeOrder,
         outcome: &OrderOutcome,
         now: Timestamp,
-        longest: Timestamp,
+        late_lease_bound: Timestamp,
     ) {
         if order.kind == OrderKind::Release {
-            // A release is answered when the work that ran has ended; its silence says nothing.
+            // A target answers a release once its running requests end, so a missing answer is
+            // no evidence.
             return;
         }
-        let recent = |at: Timestamp| now.since(at) < WINDOW;
-        while self.outcomes.front().is_some_and(|one| !recent(one.at)) {
+        let recent = |at: Timestamp| now.since(at) < OUTCOME_WINDOW;
+        while self.outcomes.front().is_some_and(|outcome| !recent(outcome.at)) {
             self.outcomes.pop_front();
         }
-        while self.signs.front().is_some_and(|(at, _)| !recent(*at)) {
-            self.signs.pop_front();
+        while self.recoveries.front().is_some_and(|(at, _)| !recent(*at)) {
+            self.recoveries.pop_front();
         }
         let target = &order.target.id;
         match outcome {
             OrderOutcome::Unanswered => {
-                self.note_grant(target, true, now);
-                self.silent.insert(target.clone());
+                self.record_grant(target, true, now);
+                self.unanswered.insert(target.clone());
                 if self.is_late(now) {
-                    self.assume_late_until(longest);
+                    self.assume_late_until(late_lease_bound);
                 }
             }
             OrderOutcome::Done(_) | OrderOutcome::Outranked => {
-                self.note_grant(target, false, now);
-                if self.silent.remove(target) {
-                    self.note_sign(target, now, longest);
+                self.record_grant(target, false, now);
+                if self.unanswered.remove(target) {
+                    self.record_recovery(target, now, late_lease_bound);
                 }
             }
-            // It can't be reached, or breaks off: its silence was not that of a target that works on.
+            // The target is unreachable or has ended, so its earlier missing answer does not show
+            // late execution.
             OrderOutcome::Broken | OrderOutcome::NotSent | OrderOutcome::Ended => {
-                self.silent.remove(target);
+                self.unanswered.remove(target);
             }
         }
     }
 
-    /// A target works on that had left an order unanswered.
-    fn note_sign(&mut self, target: &str, now: Timestamp, longest: Timestamp) {
+    /// Records that a target answered after it had left a grant unanswered.
+    fn record_recovery(&mut self, target: &str, now: Timestamp, late_lease_bound: Timestamp) {
         self.late_targets.retain(|_, until| now < *until);
-        self.late_targets.insert(target.to_owned(), longest);
-        self.signs.push_back((now, target.to_owned()));
-        let targets: BTreeSet<&String> = self.signs.iter().map(|(_, target)| target).collect();
-        if targets.len() >= TARGETS_LEAST && self.are_many_silent() {
-            self.assume_late_until(longest);
+        self.late_targets.insert(target.to_owned(), late_lease_bound);
+        self.recoveries.push_back((now, target.to_owned()));
+        let targets: BTreeSet<&String> = self.recoveries.iter().map(|(_, target)| target).collect();
+        if targets.len() >= MIN_LATE_TARGETS && self.are_many_unanswered() {
+            self.assume_late_until(late_lease_bound);
         }
     }
 
-    fn note_grant(&mut self, target: &str, silent: bool, at: Timestamp) {
-        self.outcomes.push_back(GrantOutcome { at, target: target.to_owned(), silent });
+    fn record_grant(&mut self, target: &str, unanswered: bool, at: Timestamp) {
+        self.outcomes.push_back(GrantOutcome { at, target: target.to_owned(), unanswered });
     }
 
-    /// Whether a good part of the grants to targets that work on met silence.
+    /// Whether enough of the grants to running targets are unanswered.
     ///
-    /// A target's silence counts once it has answered after it: one that was lost answered before.
-    fn are_many_silent(&self) -> bool {
-        let mut works_on = BTreeSet::new();
-        let (mut silent, mut all) = (0_u32, 0_u32);
+    /// An unanswered grant counts only if the target answered a later one, because the last answer
+    /// of a lost target precedes its unanswered grants.
+    fn are_many_unanswered(&self) -> bool {
+        let mut running = BTreeSet::new();
+        let (mut unanswered, mut total) = (0_u32, 0_u32);
         for outcome in self.outcomes.iter().rev() {
-            if !outcome.silent {
-                works_on.insert(outcome.target.as_str());
+            if !outcome.unanswered {
+                running.insert(outcome.target.as_str());
             }
-            let counts = works_on.contains(outcome.target.as_str());
-            silent += u32::from(counts && outcome.silent);
-            all += u32::from(counts);
+            let counts = running.contains(outcome.target.as_str());
+            unanswered += u32::from(counts && outcome.unanswered);
+            total += u32::from(counts);
         }
-        f64::from(silent) >= SILENT_PART * f64::from(all)
+        f64::from(unanswered) >= MIN_UNANSWERED_FRACTION * f64::from(total)
     }
 }
