--- a/crates/nickellead_range/src/change.rs
+++ b/crates/nickellead_range/src/change.rs
@@ -1,8 +1,8 @@
-//! What turns one map of ranges into another.
+//! Differences between two maps of ranges.
 //!
-//! A map of a few hundred ranges is written several times a second, and each
-//! write touches few of them. The ranges of a service are in order and without
-//! gaps, so its new ranges say all: whatever held their keys is replaced.
+//! Most writes of the map change few of its ranges, so VMs send each other the changed ranges
+//! only. The ranges of a service are in order and without gaps, so each new range replaces
+//! whichever ranges covered its keys.
 
 use std::collections::BTreeMap;
 
@@ -11,38 +11,38 @@
 
 use crate::{RangeMap, RangeRecord, ServiceRanges, StoreEra};
 
-/// Why a change can't be applied to a map.
+/// Reason why a change cannot be applied to a map.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MapChangeError {
-    /// The map is not the one that the change was made from.
+    /// The map is not the base of the change.
     #[error(
-        "the change follows on edit {wanted_edit} of writer {wanted_writer}, \
-         the map is edit {edit} of writer {writer}"
+        "change applies to edit {expected_edit} of writer {expected_writer}, \
+         but the map is edit {edit} of writer {writer}"
     )]
-    OtherBase {
-        /// Writer of the map that the change was made from.
-        wanted_writer: u64,
-        /// Edit of the map that the change was made from.
-        wanted_edit: u64,
-        /// Writer of the map at hand.
+    BaseMismatch {
+        /// Writer of the change's base.
+        expected_writer: u64,
+        /// Edit of the change's base.
+        expected_edit: u64,
+        /// Writer of the map that the change was applied to.
         writer: u64,
-        /// Edit of the map at hand.
+        /// Edit of the map that the change was applied to.
         edit: u64,
     },
     /// The change removes a service that the map does not have.
-    #[error("service {0} is to be removed and is not in the map")]
-    ServiceMissing(String),
-    /// The ranges of a service would not hold each key once, in order.
-    #[error("the ranges of service {0} would have gaps or be out of order")]
-    KeysUncovered(String),
+    #[error("change removes service {0}, which is not in the map")]
+    MissingService(String),
+    /// The ranges of a service would not cover each key once, in order.
+    #[error("change leaves the ranges of service {0} with gaps, overlaps or out of order")]
+    InvalidRanges(String),
 }
 
-/// What turns one map of ranges into another.
+/// Difference between two maps of ranges, as VMs send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MapChange {
-    /// Writer of the map that it was made from.
+    /// [`RangeMap::writer`] of the base map.
     base_writer: u64,
-    /// Edit of the map that it was made from.
+    /// [`RangeMap::edit`] of the base map.
     base_edit: u64,
     /// [`RangeMap::fence`] of the new map.
     fence: u64,
@@ -50,22 +50,22 @@
     writer: u64,
     /// [`RangeMap::edit`] of the new map.
     edit: u64,
-    /// [`RangeMap::late`] of the new map.
+    /// [`RangeMap::late_orders`] of the new map.
     late_orders: bool,
     /// [`RangeMap::era`] of the new map.
     era: StoreEra,
     /// [`RangeMap::unconfirmed`] of the new map.
     unconfirmed: bool,
-    /// Services that the new map does not have any more.
+    /// Services that only the base map has.
     removed: Vec<String>,
-    /// By service, the ranges that the old map does not have, in order of their keys.
+    /// By service, the ranges that only the new map has, in order of their keys.
     changed: BTreeMap<String, ServiceRanges>,
 }
 
 impl MapChange {
-    /// The change from one map to another, of which [`MapChange::apply`] makes exactly `to`.
+    /// The change that [`MapChange::apply`] uses to turn `from` into exactly `to`.
     ///
-    /// `None` when there is none, because the ranges of a service have gaps or are out of order.
+    /// `None` if the ranges of a service have gaps or are out of order.
     #[must_use]
     pub fn between(from: &RangeMap, to: &RangeMap) -> Option<Self> {
         let change = Self {
@@ -84,31 +84,31 @@
         exact.then_some(change)
     }
 
-    /// The map that the change makes of `base`.
+    /// The map that results from applying the change to `base`.
     ///
     /// # Errors
-    /// [`MapChangeError`] when `base` is not the map that the change was made from, as far as
-    /// its writer, its edit and the edges of its ranges show.
+    /// [`MapChangeError`] if the writer, the edit or the range boundaries of `base` show that it is
+    /// not the base of the change.
     pub fn apply(&self, base: &RangeMap) -> Result<RangeMap, MapChangeError> {
         self.check_base(base)?;
         let mut services = base.services.clone();
         for service in &self.removed {
             let removed = services.remove(service);
-            removed.ok_or_else(|| MapChangeError::ServiceMissing(service.clone()))?;
+            removed.ok_or_else(|| MapChangeError::MissingService(service.clone()))?;
         }
         for (service, changed) in &self.changed {
-            let known = services.get(service).map_or(&[][..], Vec::as_slice);
-            let ranges = replace_ranges(known, changed);
+            let base_ranges = services.get(service).map_or(&[][..], Vec::as_slice);
+            let ranges = replace_ranges(base_ranges, changed);
             if !covers_keys(&ranges) {
-                return Err(MapChangeError::KeysUncovered(service.clone()));
+                return Err(MapChangeError::InvalidRanges(service.clone()));
             }
             services.insert(service.clone(), ranges);
         }
-        let Self { fence, writer, edit, late_orders: late, era, unconfirmed, .. } = *self;
-        Ok(RangeMap { fence, writer, edit, late_orders: late, era, unconfirmed, services })
+        let Self { fence, writer, edit, late_orders, era, unconfirmed, .. } = *self;
+        Ok(RangeMap { fence, writer, edit, late_orders, era, unconfirmed, services })
     }
 
-    /// Number of new ranges: how much it takes to tell the change.
+    /// Number of changed ranges, which determines the size of the encoded change.
     #[must_use]
     pub fn range_count(&self) -> usize {
         self.changed.values().map(Vec::len).sum()
@@ -118,9 +118,9 @@
         if (base.writer, base.edit) == (self.base_writer, self.base_edit) {
             return Ok(());
         }
-        Err(MapChangeError::OtherBase {
-            wanted_writer: self.base_writer,
-            wanted_edit: self.base_edit,
+        Err(MapChangeError::BaseMismatch {
+            expected_writer: self.base_writer,
+            expected_edit: self.base_edit,
             writer: base.writer,
             edit: base.edit,
         })
@@ -128,36 +128,36 @@
 }
 
 fn removed_services(from: &RangeMap, to: &RangeMap) -> Vec<String> {
-    let known = from.services.keys();
-    known.filter(|service| !to.services.contains_key(*service)).cloned().collect()
+    let services = from.services.keys();
+    services.filter(|service| !to.services.contains_key(*service)).cloned().collect()
 }
 
-/// The new ranges of each service that is new or has other ranges than before.
+/// The changed ranges of each service that is new or differs from the base map.
 fn changed_services(from: &RangeMap, to: &RangeMap) -> BTreeMap<String, ServiceRanges> {
     let mut changed = BTreeMap::new();
     for (service, new) in &to.services {
-        let known = from.services.get(service);
-        if known != Some(new) {
-            let known = known.map_or(&[][..], Vec::as_slice);
-            changed.insert(service.clone(), new_ranges(known, new));
+        let old = from.services.get(service);
+        if old != Some(new) {
+            let old = old.map_or(&[][..], Vec::as_slice);
+            changed.insert(service.clone(), new_ranges(old, new));
         }
     }
     changed
 }
 
-/// The ranges of `new` that are not in `known`.
-fn new_ranges(known: &[RangeRecord], new: &[RangeRecord]) -> ServiceRanges {
+/// The ranges of `new` that are not in `old`.
+fn new_ranges(old: &[RangeRecord], new: &[RangeRecord]) -> ServiceRanges {
     let is_new = |range: &&RangeRecord| {
-        let place = known.partition_point(|known| known.first < range.first);
-        known.get(place) != Some(*range)
+        let index = old.partition_point(|old| old.first < range.first);
+        old.get(index) != Some(*range)
     };
     new.iter().filter(is_new).cloned().collect()
 }
 
-/// Puts each changed range in the place of those that end inside it.
-fn replace_ranges(known: &[RangeRecord], changed: &[RangeRecord]) -> ServiceRanges {
-    let mut ranges = ServiceRanges::with_capacity(known.len() + changed.len());
-    let mut rest = known;
+/// Replaces the ranges that end inside a changed range by that range.
+fn replace_ranges(old: &[RangeRecord], changed: &[RangeRecord]) -> ServiceRanges {
+    let mut ranges = ServiceRanges::with_capacity(old.len() + changed.len());
+    let mut rest = old;
     for new in changed {
         let before = rest.partition_point(|range| range.last < new.first);
         let (kept, after) = rest.split_at(before);
@@ -170,7 +170,7 @@
     ranges
 }
 
-/// Whether the ranges hold each key once, in order.
+/// Whether the ranges cover each key once, in order.
 fn covers_keys(ranges: &[RangeRecord]) -> bool {
     let mut next = Some(0);
     for range in ranges {
--- a/crates/nickellead_range/tests/map_changes.rs
+++ b/crates/nickellead_range/tests/map_changes.rs
@@ -134,7 +134,7 @@
         let to = edited(from.clone(), std::slice::from_ref(&then));
         let change = MapChange::between(&from, &to).unwrap();
         let refused = |base: &RangeMap| {
-            matches!(change.apply(base), Err(MapChangeError::OtherBase { .. }))
+            matches!(change.apply(base), Err(MapChangeError::BaseMismatch { .. }))
         };
         let foreign = RangeMap { writer: 8, ..from };
         refused(&to) && refused(&foreign)
@@ -181,5 +181,5 @@
             .unwrap();
     let mut other = from;
     other.services.remove("beta");
-    assert_eq!(change.apply(&other), Err(MapChangeError::ServiceMissing("beta".to_owned())));
+    assert_eq!(change.apply(&other), Err(MapChangeError::MissingService("beta".to_owned())));
 }
