--- a/crates/nickellead_range/src/inherited_map.rs
+++ b/crates/nickellead_range/src/inherited_map.rs
@@ -1,41 +1,42 @@
-//! What the store holds beside what a VM knows: after a write that failed, and when a keeper takes over.
+//! Comparison of the stored map with a VM's known map, after failed writes and at a takeover.
 
 use crate::{RangeMap, Revision, StoreEra, Stored};
 
-/// What became of a keeper's write that got no good answer.
+/// Outcome of a map write whose response was missing or negative, as read back from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The store holds a map of this keeper, as of this revision and edit.
+    /// The store holds a map that this controller wrote.
     Written {
-        /// Revision of the map.
+        /// Revision of the stored map.
         revision: Revision,
-        /// Its edit.
+        /// Number of the last edit in the stored map.
         edit: u64,
     },
-    /// Somebody else has written the map.
+    /// Another controller has written the map.
     Superseded,
-    /// Nothing was done: the map is to be written over what has this revision, or made if `None`.
+    /// The write had no effect; the next one must expect this revision, or no map if `None`.
     NotWritten(Option<Revision>),
 }
 
-/// What became of a write, by the map that the store holds in this era.
+/// Determines the outcome of a write from the map that the store holds in this era.
 ///
-/// `expected` is the revision that the write named. A map that a copy brought back, or that a late write
-/// of an earlier era made, supersedes nobody: who holds the mandate of this era writes over it.
+/// `expected` is the revision that the write required. A map from an earlier era, whether restored
+/// from a copy or written late, does not supersede this controller, because the mandate holder of
+/// the current era overwrites it.
 #[must_use]
 pub fn classify_write(
-    found: Option<&Stored<RangeMap>>,
+    stored: Option<&Stored<RangeMap>>,
     era: StoreEra,
     writer: u64,
     expected: Option<Revision>,
 ) -> WriteOutcome {
-    let Some(found) = found else {
+    let Some(stored) = stored else {
         return WriteOutcome::NotWritten(expected.filter(|expected| expected.era == era));
     };
-    let (revision, edit) = (found.revision, found.value.edit);
-    if found.is_from_earlier_era() {
+    let (revision, edit) = (stored.revision, stored.value.edit);
+    if stored.is_from_earlier_era() {
         WriteOutcome::NotWritten(Some(revision))
-    } else if found.value.writer == writer {
+    } else if stored.value.writer == writer {
         WriteOutcome::Written { revision, edit }
     } else if Some(revision) == expected {
         WriteOutcome::NotWritten(expected)
@@ -44,34 +45,34 @@
     }
 }
 
-/// A map that a keeper takes over.
+/// The map that a new controller starts from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InheritedMap {
-    /// The map.
+    /// The map as last written by a predecessor.
     pub map: RangeMap,
-    /// The store's era in which it is taken over.
+    /// The store's era at the takeover.
     pub era: StoreEra,
-    /// Whether it came out of a copy, and this VM knows nothing of what followed on it.
+    /// Whether the map was restored from a copy and this VM knows no later one.
     pub is_stale: bool,
 }
 
 impl InheritedMap {
-    /// What the store holds in this era, or what this VM knows if the store has lost it.
+    /// The stored map, or the map that this VM knows if the store has lost it.
     #[must_use]
     pub fn newest(
-        found: Option<Stored<RangeMap>>,
+        stored: Option<Stored<RangeMap>>,
         known: Option<Stored<RangeMap>>,
         era: StoreEra,
     ) -> Self {
         let known = known.filter(|known| known.effective_revision().era < era);
-        let is_behind = |found: &Stored<RangeMap>| {
+        let is_behind = |stored: &Stored<RangeMap>| {
             known
                 .as_ref()
-                .is_some_and(|known| found.effective_revision() <= known.effective_revision())
+                .is_some_and(|known| stored.effective_revision() <= known.effective_revision())
         };
-        match found {
-            Some(found) if !is_behind(&found) => {
-                Self { is_stale: found.is_from_earlier_era(), map: found.value, era }
+        match stored {
+            Some(stored) if !is_behind(&stored) => {
+                Self { is_stale: stored.is_from_earlier_era(), map: stored.value, era }
             }
             _ => Self {
                 is_stale: false,
