--- a/crates/nickellead_range/src/plan.rs
+++ b/crates/nickellead_range/src/plan.rs
@@ -1,6 +1,6 @@
-//! Which ranges should move where.
+//! Planning of moves: which subranges go to which targets.
 
-use crate::subrange::{SubrangeRequest, find_subrange, weigh};
+use crate::subrange::{SubrangeRequest, find_subrange, weighted_load};
 use crate::{KeyLoad, RangeRecord, TargetInstance};
 
 /// A target that may own ranges.
@@ -8,59 +8,60 @@
 pub struct OwnerCandidate {
     /// The target.
     pub target: TargetInstance,
-    /// What it can do beside the others, 1.0 for an ordinary one.
+    /// Capacity relative to the other candidates; 1.0 for an average target.
     pub capacity: f64,
-    /// The load that it can bear at most, as load is counted; `None` for as much as its capacity says.
+    /// Maximum load that the target accepts, in the unit of [`KeyLoad`]; `None` if only `capacity`
+    /// limits it.
     pub max_load: Option<f64>,
 }
 
-/// A run of keys that should go to another target.
+/// A run of keys that should move to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MoveProposal {
     /// First key to move.
     pub first: u16,
     /// Last key to move, included.
     pub last: u16,
-    /// Who should own it.
+    /// The next owner.
     pub to: TargetInstance,
 }
 
-/// A target is relieved when its load is this many times its fair share.
+/// A target is overloaded if its load is at least this multiple of its fair load.
 ///
-/// Below it a move costs more (a stall of the moved keys) than the shorter queue gains.
-const RELIEF_RATIO: f64 = 1.35;
-/// Least sampled requests at a target before its load means anything.
-const SAMPLES_LEAST: f64 = 10.0;
-/// A target's load must also be above its fair share by this many standard deviations of a count as
-/// large as the share: what is less may be chance.
-const DEVIATIONS_LEAST: f64 = 2.5;
-/// A target with less than this part of its fair share is a newcomer or idle: it is given something
-/// though the excess elsewhere may be chance.
-const IDLE_PART: f64 = 0.25;
-/// No share is less than this, so that loads can be told as parts of it.
-const SHARE_LEAST: f64 = 1e-3;
-/// Least sampled requests at a target with more than it says that it bears: it is not a matter of chance.
-const BORNE_SAMPLES_LEAST: f64 = 2.0;
-/// A receiver must stay below this part of the load that its giver has: else a heavy key would only
-/// carry the overload over.
-const RECEIVER_PART: f64 = 0.8;
-/// The same for a key that is alone already: measured speeds vary, and it must not move to and fro.
-const LONE_KEY_PART: f64 = 0.6;
-
-/// Proposes at most `most` moves that relieve the most loaded targets.
+/// Below it, stalling the moved keys costs more than the shorter queue gains.
+const OVERLOAD_RATIO: f64 = 1.35;
+/// Minimum load, in sampled requests, of an overloaded target.
+const MIN_OVERLOAD_SAMPLES: f64 = 10.0;
+/// Minimum excess of an overloaded target over its fair load, in standard deviations of a Poisson
+/// count with the fair load as its mean; a smaller excess may be sampling noise.
+const MIN_EXCESS_STD_DEVIATIONS: f64 = 2.5;
+/// A target below this fraction of its fair load is idle and receives load even if the excess
+/// elsewhere may be sampling noise.
+const IDLE_LOAD_FRACTION: f64 = 0.25;
+/// Lower bound on a fair load, which is used as a divisor.
+const MIN_FAIR_LOAD: f64 = 1e-3;
+/// Minimum load, in sampled requests, of an overloaded target that exceeds its own maximum load.
+const MIN_SAMPLES_ABOVE_MAX_LOAD: f64 = 2.0;
+/// Maximum relative load of a receiver after the move, as a fraction of its giver's before it, so
+/// that a heavy key does not just move the overload.
+const MAX_RECEIVER_LOAD_FRACTION: f64 = 0.8;
+/// The same for a key that already has a range of its own; the lower bound keeps such a key from
+/// oscillating between targets.
+const MAX_SINGLE_KEY_RECEIVER_LOAD_FRACTION: f64 = 0.6;
+
+/// Proposes at most `max_moves` moves that relieve the most loaded targets.
 ///
-/// Reads ranges that are settled; a range on the move counts for its next
-/// owner and is left alone.
+/// Only settled ranges move. A range that is already moving counts as load of its next owner.
 #[must_use]
 pub fn plan_moves(
     ranges: &[RangeRecord],
     candidates: &[OwnerCandidate],
     load: &KeyLoad,
-    most: usize,
+    max_moves: usize,
 ) -> Vec<MoveProposal> {
     let mut ranges = ranges.to_vec();
     let mut moves = Vec::new();
-    while moves.len() < most {
+    while moves.len() < max_moves {
         let Some(proposal) = plan_one(&mut ranges, candidates, load) else {
             break;
         };
@@ -69,7 +70,7 @@
     moves
 }
 
-/// The candidate with the least load beside its capacity.
+/// The candidate with the lowest load relative to its fair load; `None` without candidates.
 #[must_use]
 pub fn least_loaded_owner(
     ranges: &[RangeRecord],
@@ -77,143 +78,149 @@
     load: &KeyLoad,
 ) -> Option<TargetInstance> {
     let loads = CandidateLoads::new(ranges, candidates, load);
-    Some(candidates[loads.lightest()?].target.clone())
+    Some(candidates[loads.least_loaded()?].target.clone())
 }
 
-/// Loads and fair shares of all candidates, by place in their list.
+/// Loads of all candidates, indexed as in their list.
 struct CandidateLoads {
-    /// The load that each should have: its part of the whole by capacity.
+    /// The load that each should have.
     fair: Vec<f64>,
-    /// The load that each has, in fair shares: 1.0 is what it should have.
+    /// The load that each has, relative to its fair load.
     relative: Vec<f64>,
-    /// Whether each has more than it says that it bears.
-    overborne: Vec<bool>,
+    /// Whether the load of each exceeds the maximum that it accepts.
+    exceeds_max: Vec<bool>,
 }
 
 impl CandidateLoads {
     fn new(ranges: &[RangeRecord], candidates: &[OwnerCandidate], load: &KeyLoad) -> Self {
-        let fair = fair_shares(candidates, load);
+        let fair = fair_loads(candidates, load);
         let owned: Vec<f64> =
             candidates.iter().map(|candidate| owned_load(ranges, candidate, load)).collect();
         let relative = owned.iter().zip(&fair).map(|(owned, fair)| owned / fair).collect();
-        let bears = |candidate: &OwnerCandidate, owned: f64| {
-            candidate.max_load.is_none_or(|most| owned <= most * RELIEF_RATIO)
+        let accepts = |candidate: &OwnerCandidate, owned: f64| {
+            candidate.max_load.is_none_or(|max_load| owned <= max_load * OVERLOAD_RATIO)
         };
-        let overborne = candidates.iter().zip(&owned).map(|(one, owned)| !bears(one, *owned));
-        let overborne = overborne.collect();
-        Self { fair, relative, overborne }
+        let exceeds_max =
+            candidates.iter().zip(&owned).map(|(candidate, owned)| !accepts(candidate, *owned));
+        let exceeds_max = exceeds_max.collect();
+        Self { fair, relative, exceeds_max }
     }
 
-    /// Place of the least loaded candidate.
-    fn lightest(&self) -> Option<usize> {
+    /// Index of the least loaded candidate.
+    fn least_loaded(&self) -> Option<usize> {
         (0..self.relative.len()).min_by(|a, b| self.relative[*a].total_cmp(&self.relative[*b]))
     }
 
-    /// Places of the candidates to relieve, the most loaded one first.
-    fn givers(&self, lightest: usize) -> Vec<usize> {
-        let idle = self.relative[lightest] < IDLE_PART;
-        let places = (0..self.relative.len()).filter(|place| *place != lightest);
-        let mut givers: Vec<usize> = places.filter(|place| self.overloaded(*place, idle)).collect();
+    /// Indices of the overloaded candidates, the most loaded one first.
+    fn givers(&self, least_loaded: usize) -> Vec<usize> {
+        let has_idle = self.relative[least_loaded] < IDLE_LOAD_FRACTION;
+        let others = (0..self.relative.len()).filter(|index| *index != least_loaded);
+        let mut givers: Vec<usize> =
+            others.filter(|index| self.is_overloaded(*index, has_idle)).collect();
         givers.sort_by(|a, b| self.relative[*b].total_cmp(&self.relative[*a]));
         givers
     }
 
-    /// Whether a candidate has so much more than its share that a move is worth it; `idle` tells
-    /// that another one has next to nothing.
-    fn overloaded(&self, place: usize, idle: bool) -> bool {
-        let (load, fair) = (self.relative[place], self.fair[place]);
-        if self.overborne[place] {
-            return load >= RELIEF_RATIO && load * fair >= BORNE_SAMPLES_LEAST;
+    /// Whether the excess load of a candidate justifies a move; `has_idle` says that another
+    /// candidate is idle.
+    fn is_overloaded(&self, index: usize, has_idle: bool) -> bool {
+        let (load, fair) = (self.relative[index], self.fair[index]);
+        if self.exceeds_max[index] {
+            return load >= OVERLOAD_RATIO && load * fair >= MIN_SAMPLES_ABOVE_MAX_LOAD;
         }
-        let sure = idle || (load - 1.0) * fair >= DEVIATIONS_LEAST * fair.sqrt();
-        load >= RELIEF_RATIO && load * fair >= SAMPLES_LEAST && sure
+        let is_significant =
+            has_idle || (load - 1.0) * fair >= MIN_EXCESS_STD_DEVIATIONS * fair.sqrt();
+        load >= OVERLOAD_RATIO && load * fair >= MIN_OVERLOAD_SAMPLES && is_significant
     }
 
     /// How much load a move from `giver` should carry.
-    fn subrange_request(&self, giver: usize, lightest: usize) -> SubrangeRequest {
+    fn subrange_request(&self, giver: usize, least_loaded: usize) -> SubrangeRequest {
         let excess = (self.relative[giver] - 1.0) * self.fair[giver];
-        let room = (1.0 - self.relative[lightest]) * self.fair[lightest];
+        let headroom = (1.0 - self.relative[least_loaded]) * self.fair[least_loaded];
         SubrangeRequest {
-            load: excess.min(room),
-            most: self.bearable(giver, RECEIVER_PART),
-            lone_key: self.bearable(giver, LONE_KEY_PART),
+            load: excess.min(headroom),
+            max_load: self.max_receivable(giver, MAX_RECEIVER_LOAD_FRACTION),
+            max_single_key_load: self.max_receivable(giver, MAX_SINGLE_KEY_RECEIVER_LOAD_FRACTION),
         }
     }
 
-    /// The greatest load with which some receiver stays below this part of the giver's.
-    fn bearable(&self, giver: usize, part: f64) -> f64 {
-        let limit = self.relative[giver] * part;
-        let room = |place: usize| (limit - self.relative[place]) * self.fair[place];
-        (0..self.relative.len()).map(room).fold(0.0, f64::max)
+    /// The highest load that leaves some receiver below this fraction of the giver's relative load.
+    fn max_receivable(&self, giver: usize, fraction: f64) -> f64 {
+        let limit = self.relative[giver] * fraction;
+        let headroom = |index: usize| (limit - self.relative[index]) * self.fair[index];
+        (0..self.relative.len()).map(headroom).fold(0.0, f64::max)
     }
 
-    /// Place of the candidate that is the least loaded once it carries a piece of the giver's too.
+    /// Index of the candidate other than `giver` that is the least loaded after taking `carried`.
     ///
-    /// A piece heavier than the lightest target has room for weighs less on a faster one.
+    /// It may differ from the least loaded candidate before the move, because the same subrange is
+    /// a smaller relative load for a faster target.
     fn receiver(&self, giver: usize, carried: f64) -> Option<usize> {
-        let after = |place: usize| self.relative[place] + carried / self.fair[place];
+        let after = |index: usize| self.relative[index] + carried / self.fair[index];
         (0..self.relative.len())
-            .filter(|place| *place != giver)
+            .filter(|index| *index != giver)
             .min_by(|a, b| after(*a).total_cmp(&after(*b)))
     }
 }
 
-/// The load that each candidate should have: its part of the whole by capacity, and no more than it bears
-/// while others can bear the rest.
-fn fair_shares(candidates: &[OwnerCandidate], load: &KeyLoad) -> Vec<f64> {
-    let total = weigh(load, 0, u16::MAX);
+/// The load that each candidate should have: proportional to its capacity, and at most its maximum
+/// load while others can take the rest.
+fn fair_loads(candidates: &[OwnerCandidate], load: &KeyLoad) -> Vec<f64> {
+    let total = weighted_load(load, 0, u16::MAX);
     let mut full = vec![false; candidates.len()];
     loop {
-        let shares = shares_beside(candidates, &full, total);
-        let over =
-            |place: usize| candidates[place].max_load.is_some_and(|most| shares[place] > most);
+        let loads = distribute(candidates, &full, total);
+        let exceeds = |index: usize| {
+            candidates[index].max_load.is_some_and(|max_load| loads[index] > max_load)
+        };
         let filled: Vec<usize> =
-            (0..candidates.len()).filter(|place| !full[*place] && over(*place)).collect();
+            (0..candidates.len()).filter(|index| !full[*index] && exceeds(*index)).collect();
         if filled.is_empty() {
-            return shares.into_iter().map(|share| share.max(SHARE_LEAST)).collect();
+            return loads.into_iter().map(|load| load.max(MIN_FAIR_LOAD)).collect();
         }
-        filled.into_iter().for_each(|place| full[place] = true);
+        filled.into_iter().for_each(|index| full[index] = true);
     }
 }
 
-/// The load of each candidate when full ones have what they bear and the others share the rest by capacity.
-fn shares_beside(candidates: &[OwnerCandidate], full: &[bool], total: f64) -> Vec<f64> {
-    let borne = |place: usize| candidates[place].max_load.filter(|_| full[place]);
-    let places = 0..candidates.len();
-    let rest = (total - places.clone().filter_map(borne).sum::<f64>()).max(0.0);
-    let open = places.clone().filter(|place| !full[*place]);
-    let capacity: f64 = open.map(|place| candidates[place].capacity).sum();
-    let share = |place: usize| rest * candidates[place].capacity / capacity;
-    places.map(|place| borne(place).unwrap_or_else(|| share(place))).collect()
+/// Gives full candidates their maximum load and distributes the rest over the others by capacity.
+fn distribute(candidates: &[OwnerCandidate], full: &[bool], total: f64) -> Vec<f64> {
+    let max_load = |index: usize| candidates[index].max_load.filter(|_| full[index]);
+    let indices = 0..candidates.len();
+    let rest = (total - indices.clone().filter_map(max_load).sum::<f64>()).max(0.0);
+    let open = indices.clone().filter(|index| !full[*index]);
+    let capacity: f64 = open.map(|index| candidates[index].capacity).sum();
+    let by_capacity = |index: usize| rest * candidates[index].capacity / capacity;
+    indices.map(|index| max_load(index).unwrap_or_else(|| by_capacity(index))).collect()
 }
 
 /// Load of all ranges that a candidate owns.
 fn owned_load(ranges: &[RangeRecord], candidate: &OwnerCandidate, load: &KeyLoad) -> f64 {
     let owned = ranges.iter().filter(|range| range.owner.as_ref() == Some(&candidate.target));
-    owned.map(|range| weigh(load, range.first, range.last)).sum()
+    owned.map(|range| weighted_load(load, range.first, range.last)).sum()
 }
 
-/// The one move that relieves the most loaded target that can be; `ranges` are then as after it.
+/// Plans one move from the most loaded target that has a suitable subrange, and applies it to
+/// `ranges`.
 fn plan_one(
     ranges: &mut Vec<RangeRecord>,
     candidates: &[OwnerCandidate],
     load: &KeyLoad,
 ) -> Option<MoveProposal> {
     let loads = CandidateLoads::new(ranges, candidates, load);
-    let lightest = loads.lightest()?;
-    let givers = loads.givers(lightest);
+    let least_loaded = loads.least_loaded()?;
+    let givers = loads.givers(least_loaded);
     let (giver, first, last) = givers.into_iter().find_map(|giver| {
-        let wanted = loads.subrange_request(giver, lightest);
-        let (first, last) = find_subrange(ranges, load, &candidates[giver].target, wanted)?;
+        let request = loads.subrange_request(giver, least_loaded);
+        let (first, last) = find_subrange(ranges, load, &candidates[giver].target, request)?;
         Some((giver, first, last))
     })?;
-    let receiver = loads.receiver(giver, weigh(load, first, last))?;
+    let receiver = loads.receiver(giver, weighted_load(load, first, last))?;
     let proposal = MoveProposal { first, last, to: candidates[receiver].target.clone() };
     apply_move(ranges, &proposal);
     Some(proposal)
 }
 
-/// Splits ranges at the edges of a move and gives the piece to its new owner.
+/// Splits ranges at the boundaries of a move and assigns the moved keys to their next owner.
 fn apply_move(ranges: &mut Vec<RangeRecord>, proposal: &MoveProposal) {
     split_at(ranges, proposal.first);
     if let Some(after) = proposal.last.checked_add(1) {
@@ -227,13 +234,13 @@
     }
 }
 
-/// Makes `key` the first of its range.
+/// Splits the range that contains `key` so that `key` is the first of its range.
 pub(crate) fn split_at(ranges: &mut Vec<RangeRecord>, key: u16) {
-    let Some(place) = ranges.iter().position(|range| range.first < key && key <= range.last) else {
+    let Some(index) = ranges.iter().position(|range| range.first < key && key <= range.last) else {
         return;
     };
-    let mut upper = ranges[place].clone();
+    let mut upper = ranges[index].clone();
     upper.first = key;
-    ranges[place].last = key - 1;
-    ranges.insert(place + 1, upper);
+    ranges[index].last = key - 1;
+    ranges.insert(index + 1, upper);
 }
