--- a/crates/nickellead_range/src/controller/order.rs
+++ b/crates/nickellead_range/src/controller/order.rs
@@ -1,20 +1,20 @@
-//! An order to a target, and what became of it.
+//! Orders to targets and their outcomes.
 
 use nickellead_core::Timestamp;
 
 use crate::TargetInstance;
 
-/// What an order asks of a target.
+/// Kind of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Hold the range, with the token of its last holder if there is one.
+    /// Own the range for a lease; carries the handover token of the previous owner, if any.
     Grant(Option<String>),
-    /// Take no new work for the range and finish what runs.
+    /// Accept no new requests for the range and finish the running ones.
     Release,
 }
 
 impl OrderKind {
-    /// The word for it in logs and metrics.
+    /// Name in logs and metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -24,44 +24,44 @@
     }
 }
 
-/// One order to one target.
+/// An order about a range to one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// First key.
+    /// First key, included.
     pub first: u16,
     /// Last key, included.
     pub last: u16,
-    /// Fencing token of the order.
+    /// Fencing token of the order; the target refuses a grant below the highest it has seen.
     pub fence: u64,
-    /// Who is asked.
+    /// The instance that receives the order.
     pub target: TargetInstance,
-    /// What is asked.
+    /// What the target has to do.
     pub kind: OrderKind,
-    /// When the order was decided; it is sent no earlier.
+    /// When the controller decided the order; it is sent at this time or later.
     pub decided_at: Timestamp,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Done; a release carries the token for the next holder.
+    /// The target executed the order; a release returns the handover token for the next owner.
     Done(Option<String>),
-    /// The target has seen a higher fence on one of the keys.
+    /// The target refused the order, because it has seen a higher fence for one of the keys.
     Outranked,
-    /// Another process answers at the address: the asked one has ended.
+    /// Another instance answers at the address, so the addressed one has ended.
     Ended,
-    /// It surely never reached a target.
+    /// The order certainly never reached a target.
     NotSent,
-    /// The connection ended before an answer: the order may have taken effect, or may yet.
+    /// The connection closed before a response; the order may have taken effect or may yet do so.
     Broken,
-    /// Silence: the order may take effect later.
+    /// No response in time; the order may take effect later.
     Unanswered,
 }
 
 impl OrderOutcome {
-    /// The word for it in logs and metrics.
+    /// Name in logs and metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
