--- a/crates/nickellead_range/src/controller/candidates.rs
+++ b/crates/nickellead_range/src/controller/candidates.rs
@@ -1,17 +1,17 @@
-//! Who may own ranges: dividing a new service, and replacing owners who may not.
+//! Assignment of owners: division of new services and replacement of owners that are no candidates.
 
 use std::collections::BTreeSet;
 
 use nickellead_core::enforced;
 
-use super::{RangeController, RangeWork};
+use super::{RangeController, RangeState};
 use crate::map::KEY_COUNT;
 use crate::{OwnerCandidate, RangeRecord, TargetInstance};
 
 impl RangeController {
-    /// Takes over who may own ranges of a service, and replaces owners who may not.
+    /// Sets the candidates for the ranges of a service and replaces owners that are not among them.
     ///
-    /// `pick` chooses among the candidates for a range that needs an owner.
+    /// `pick` selects the new owner of a range from the service's ranges and its first and last key.
     pub fn set_candidates(
         &mut self,
         service: &str,
@@ -19,93 +19,96 @@
         pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<TargetInstance>,
     ) {
         let usable = |candidate: &&OwnerCandidate| !self.ended.contains(&candidate.target);
-        let holders: BTreeSet<TargetInstance> =
+        let allowed: BTreeSet<TargetInstance> =
             candidates.iter().filter(usable).map(|candidate| candidate.target.clone()).collect();
-        self.candidates.insert(service.to_owned(), holders.clone());
-        if holders.is_empty() {
+        self.candidates.insert(service.to_owned(), allowed.clone());
+        if allowed.is_empty() {
             return;
         }
         if !self.map.services.contains_key(service) {
-            self.divide(service, &holders);
+            self.divide(service, &allowed);
             return;
         }
-        self.replace_owners(service, &holders, pick);
+        self.replace_owners(service, &allowed, pick);
     }
 
-    /// Gives the ranges whose owner is none of `holders` to whom `pick` chooses.
+    /// Reassigns the ranges whose owner is not in `allowed`.
     fn replace_owners(
         &mut self,
         service: &str,
-        holders: &BTreeSet<TargetInstance>,
+        allowed: &BTreeSet<TargetInstance>,
         mut pick: impl FnMut(&[RangeRecord], u16, u16) -> Option<TargetInstance>,
     ) {
-        let places = self.map.services.get(service).map_or(0, Vec::len);
-        for place in 0..places {
+        let count = self.map.services.get(service).map_or(0, Vec::len);
+        for index in 0..count {
             let Some(ranges) = self.map.services.get(service) else { return };
-            let range = &ranges[place];
-            let stays = range.owner.as_ref().is_some_and(|owner| holders.contains(owner));
+            let range = &ranges[index];
+            let stays = range.owner.as_ref().is_some_and(|owner| allowed.contains(owner));
             if stays
                 || !self.may_reassign(service, range.first)
                 || (range.previous.is_some() && enforced!("one_previous_holder"))
             {
-                // Who may still hold it is settled first; then the next call replaces the owner.
+                // A later call replaces the owner once no previous owner remains.
                 continue;
             }
             if let Some(to) = pick(ranges, range.first, range.last) {
-                self.reassign(service, place, to);
+                self.reassign(service, index, to);
             }
         }
     }
 
-    /// Gives a new service's key space to its targets in equal parts.
-    fn divide(&mut self, service: &str, holders: &BTreeSet<TargetInstance>) {
+    /// Divides a new service's key space equally among its targets.
+    fn divide(&mut self, service: &str, allowed: &BTreeSet<TargetInstance>) {
         let edit = self.next_edit();
-        let count = holders.len() as u32;
+        let count = allowed.len() as u32;
         let mut ranges = Vec::new();
-        for (place, holder) in holders.iter().enumerate() {
-            let place = place as u32;
-            let first = (KEY_COUNT * place / count) as u16;
-            let last = (KEY_COUNT * (place + 1) / count - 1) as u16;
+        for (index, target) in allowed.iter().enumerate() {
+            let index = index as u32;
+            let first = (KEY_COUNT * index / count) as u16;
+            let last = (KEY_COUNT * (index + 1) / count - 1) as u16;
             let fence = self.next_fence();
-            let owner = Some(holder.clone());
+            let owner = Some(target.clone());
             ranges.push(RangeRecord { first, last, fence, owner, previous: None, settled: false });
-            let work = RangeWork { edit, ..RangeWork::default() };
-            self.work.insert((service.to_owned(), first), work);
+            let state = RangeState { required_edit: edit, ..RangeState::default() };
+            self.range_states.insert((service.to_owned(), first), state);
         }
         self.map.services.insert(service.to_owned(), ranges);
     }
 
-    /// Whether a range may be given to another target: while the map is in doubt an owner that answers a
-    /// release may have been released before, and another one have followed it.
+    /// Whether a range may be reassigned.
+    ///
+    /// While the map is unconfirmed, an owner that confirms a release may have been released before
+    /// and replaced by a target that the map does not name.
     pub(super) fn may_reassign(&self, service: &str, first: u16) -> bool {
-        let work = self.work.get(&(service.to_owned(), first));
-        let doubted = self.doubt.is_foreign || work.is_some_and(|work| work.is_doubted);
-        !(self.doubt.lasts && doubted)
+        let state = self.range_states.get(&(service.to_owned(), first));
+        let unconfirmed =
+            self.unconfirmed.is_inherited || state.is_some_and(|state| state.is_unconfirmed);
+        !(self.unconfirmed.is_active && unconfirmed)
     }
 
-    /// Makes `to` the next owner of a range that nobody but its owner may hold.
-    pub(super) fn reassign(&mut self, service: &str, place: usize, to: TargetInstance) {
+    /// Makes `to` the next owner of a range that has no previous owner.
+    pub(super) fn reassign(&mut self, service: &str, index: usize, to: TargetInstance) {
         let fence = self.next_fence();
         let edit = self.next_edit();
         let Some(ranges) = self.map.services.get_mut(service) else { return };
-        let range = &mut ranges[place];
+        let range = &mut ranges[index];
         let previous = range.owner.replace(to);
-        range.previous = previous.filter(|holder| !self.ended.contains(holder));
+        range.previous = previous.filter(|previous| !self.ended.contains(previous));
         range.fence = fence;
         range.settled = false;
-        let work = self.work.entry((service.to_owned(), range.first)).or_default();
-        // A grant under way may still turn out to be silent.
-        let debt = if work.in_flight {
-            work.owner_until + self.settings.max_lateness
+        let state = self.range_states.entry((service.to_owned(), range.first)).or_default();
+        // A grant in flight may still turn out to be unanswered.
+        let late_until = if state.in_flight {
+            state.owner_lease_until + self.settings.max_lateness
         } else {
-            work.owner_debt_until
+            state.owner_late_until
         };
-        *work = RangeWork {
-            edit,
-            previous_until: work.owner_until,
-            previous_debt_until: work.owner_debt_until.max(debt),
-            previous_was_silent: work.owner_was_silent,
-            ..RangeWork::default()
+        *state = RangeState {
+            required_edit: edit,
+            previous_lease_until: state.owner_lease_until,
+            previous_late_until: state.owner_late_until.max(late_until),
+            previous_may_be_late: state.owner_may_be_late,
+            ..RangeState::default()
         };
     }
 }
--- a/crates/nickellead_range/src/controller/mod.rs
+++ b/crates/nickellead_range/src/controller/mod.rs
@@ -1,8 +1,8 @@
-//! The keeper of ranges: every order to targets and every write of the map.
+//! The range controller: decides every order to a target and every write of the map.
 //!
-//! This module holds the state, the take-over from a predecessor and the writes
-//! of the map. `candidates` gives ranges their owners, `moves` starts moves and
-//! joins ranges, `orders` says what is due, `outcomes` takes in what came of it.
+//! This module holds the state, the takeover from a predecessor and the writes of the map.
+//! `candidates` assigns owners, `moves` starts moves and merges ranges, `orders` selects the due
+//! orders, and `outcomes` applies their results.
 
 mod candidates;
 mod moves;
@@ -21,235 +21,243 @@
     TargetInstance,
 };
 
-/// Times of the keeper.
+/// Timing of leases and orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerSettings {
-    /// How long a target holds a range after a grant arrived.
+    /// How long a target owns a range after a grant arrived.
     pub lease: Duration,
-    /// Between two renewals of a grant.
+    /// Interval between two renewals of a grant.
     pub renewal_interval: Duration,
-    /// Between two tries of an order that was not answered.
+    /// Interval between two attempts of an unanswered order.
     pub retry_interval: Duration,
-    /// Added to every bound on a hold, for messages under way.
+    /// Added to every bound on a lease for messages in flight.
     pub margin: Duration,
-    /// Latest that an unanswered order was seen to take effect.
+    /// Maximum delay after which an unanswered order may still take effect.
     pub max_lateness: Duration,
-    /// Bound on the difference of clock rates.
+    /// Bound on the difference between the clock rates of a VM and a target.
     pub drift: DriftBound,
 }
 
 impl ControllerSettings {
-    /// Latest end of a hold whose grant is sent at `sent`, by this VM's clock.
+    /// Latest end of a lease whose grant is sent at `sent`, by this VM's clock.
     fn lease_bound(&self, sent: Timestamp) -> Timestamp {
         sent + self.drift.stretch(self.lease) + self.margin
     }
 
-    /// Latest end of a hold by an order that was sent until `now` and is carried out late.
+    /// Latest end of a lease by an order that was sent by `now` and is executed late.
     #[must_use]
     pub fn late_lease_bound(&self, now: Timestamp) -> Timestamp {
         self.lease_bound(now) + self.max_lateness
     }
 }
 
-/// What the keeper knows of a range beside its record.
+/// State of a range that is not part of the map.
 #[derive(Clone, Debug, Default)]
-struct RangeWork {
-    /// Edit of the map that must be in the store before an order may leave.
-    edit: u64,
-    /// Until when the owner may hold by orders that were answered or are under way.
-    owner_until: Timestamp,
-    /// The same without the grant that is under way, should it turn out that it was never sent.
-    confirmed_until: Timestamp,
-    /// The same for orders that were never answered, if they are carried out late.
-    owner_debt_until: Timestamp,
-    /// The bounds of the previous holder.
-    previous_until: Timestamp,
-    previous_debt_until: Timestamp,
-    /// Token of the previous holder.
+struct RangeState {
+    /// Edit of the map that must be in the store before an order may be sent.
+    required_edit: u64,
+    /// Latest end of the owner's lease by orders that were answered or are in flight.
+    owner_lease_until: Timestamp,
+    /// [`Self::owner_lease_until`] without the grant in flight, in case it is never sent.
+    lease_until_if_not_sent: Timestamp,
+    /// Latest end of the owner's lease by unanswered orders that are executed late.
+    owner_late_until: Timestamp,
+    /// Latest end of the previous owner's lease by orders that were answered or in flight.
+    previous_lease_until: Timestamp,
+    /// Latest end of the previous owner's lease by unanswered orders that are executed late.
+    previous_late_until: Timestamp,
+    /// Handover token of the previous owner.
     handover: Option<String>,
-    /// Whether an order is under way.
+    /// Whether an order is in flight.
     in_flight: bool,
     /// When the next order is due.
     due: Timestamp,
-    /// Releases in a row that were not answered.
-    tries: u32,
-    /// Grants in a row, each on a connection that came up, that met silence.
-    silences: u32,
-    /// Whether the owner's debts count though orders are not late elsewhere.
-    owner_was_silent: bool,
-    /// Whether the previous holder's debts count though orders are not late elsewhere.
-    previous_was_silent: bool,
-    /// Whether the owner has not confirmed its grant since the map came into doubt.
-    is_doubted: bool,
-    /// Whether it refused one since then: it has seen a fence that this keeper does not know.
-    is_refused: bool,
-    /// What the owner is renewed under until the range's own fence is in the store.
-    standing: Option<ConfirmedFence>,
+    /// Consecutive failed attempts of a release.
+    release_attempts: u32,
+    /// Consecutive grants that were sent on an established connection and left unanswered.
+    unanswered_grants: u32,
+    /// Whether the owner may execute orders late even if other targets do not.
+    owner_may_be_late: bool,
+    /// Whether the previous owner may execute orders late even if other targets do not.
+    previous_may_be_late: bool,
+    /// Whether the owner has not confirmed a grant since the map became unconfirmed.
+    is_unconfirmed: bool,
+    /// Whether the owner has refused a grant since then, because it has seen a higher fence that
+    /// this controller does not know.
+    is_outranked: bool,
+    /// Fence for renewals until the range's own fence is in the store.
+    confirmed_fence: Option<ConfirmedFence>,
 }
 
-/// A fence of an earlier keeper, under which an owner confirmed its grants.
+/// A fence of a predecessor under which the owner confirmed a grant.
 #[derive(Clone, Copy, Debug)]
 struct ConfirmedFence {
     fence: u64,
-    /// Edit of the map that brings the range's own fence into the store.
+    /// Edit of the map that stores the range's own fence.
     edit: u64,
 }
 
-/// Decides orders and writes for the VM that holds the mandate.
+/// Decides orders and map writes on the VM that holds the mandate (leader lease).
 #[derive(Clone, Debug)]
 pub struct RangeController {
     settings: ControllerSettings,
     map: RangeMap,
     /// By service and first key of the range.
-    work: BTreeMap<(String, u16), RangeWork>,
-    /// Who may own ranges, by service.
+    range_states: BTreeMap<(String, u16), RangeState>,
+    /// Instances that may own ranges, by service.
     candidates: BTreeMap<String, BTreeSet<TargetInstance>>,
-    /// Lives of targets that are known to have ended.
+    /// Instances that are known to have ended.
     ended: BTreeSet<TargetInstance>,
     /// Number of the last edit of the map.
     edit: u64,
     /// Number of the last edit that is in the store.
-    committed: u64,
-    /// Whether a write is under way.
-    writing: bool,
-    /// Until when predecessors that were not known to have stopped may still have effect.
-    inherited_until: Timestamp,
-    doubt: UnconfirmedMap,
+    committed_edit: u64,
+    /// Whether a write is in flight.
+    is_writing: bool,
+    /// Until when orders of predecessors that may still be running may take effect.
+    predecessors_until: Timestamp,
+    unconfirmed: UnconfirmedMap,
 }
 
-/// Until when targets may hold ranges that the map does not name them for: [`RangeMap::unconfirmed`].
+/// Period in which targets may own ranges that the map assigns to others; see
+/// [`RangeMap::unconfirmed`].
 #[derive(Clone, Copy, Debug, Default)]
 struct UnconfirmedMap {
     until: Timestamp,
-    /// Whether the map is another keeper's, from an earlier era of the store: what its writer wrote after it may
-    /// be lost. Else it is this keeper's own, and another one may have followed on it for a while: an owner
-    /// that confirms a fence of before was not released meanwhile.
-    is_foreign: bool,
-    /// Whether the time had not come at the last look.
-    lasts: bool,
+    /// Whether the map was written by another controller in an earlier era of the store, so that its
+    /// later writes may be lost.
+    ///
+    /// If not, the map is this controller's own and another controller may have followed it for a
+    /// while. An owner that still confirms a fence from before was not released meanwhile.
+    is_inherited: bool,
+    /// Whether the period had not ended at the last check.
+    is_active: bool,
 }
 
 impl UnconfirmedMap {
-    /// Whether nothing but renewals under fences that stand may be sent.
+    /// Whether only renewals under confirmed fences may be sent.
     fn renews_only(self) -> bool {
-        self.is_foreign && self.lasts
+        self.is_inherited && self.is_active
     }
 }
 
 impl RangeController {
-    /// Takes over what the store holds.
+    /// Takes over the stored map from earlier mandate holders.
+    ///
+    /// A predecessor may renew confirmed grants during its grace time, so every owner in the map may
+    /// keep its range for a whole lease after the predecessor's last order. Ranges that the last
+    /// predecessor moved can be renewed for their previous owner by earlier predecessors only.
     ///
-    /// A predecessor may go on renewing what stands for the grace time, so every holder named in
-    /// the map may hold for a whole hold time after its last order, wherever that order may have
-    /// been sent from. What the last predecessor moved, only the earlier ones may still renew.
-    /// `writer` must be drawn anew for each call: it tells this keeper's writes from
-    /// those of an earlier one in the same process, which may still be done late.
-    /// The first edit is the take-over itself: once it is written, no late
-    /// write of a predecessor can succeed any more. `lateness` is told what the map and
-    /// the predecessors' silence say of late orders. If the map is one of an era of the store before,
-    /// moves that followed on it may be lost, so nothing but renewals is sent to owners until all holds of
-    /// that time are over; if this VM was not even told it, no renewals either.
+    /// `writer` must be random and unique to each call: it distinguishes this controller's writes
+    /// from late writes of an earlier one in the same process. The first edit is the takeover
+    /// itself; once it is stored, no late write of a predecessor can succeed. `late_orders` receives
+    /// what the map and the predecessors' bounds imply about late orders.
+    ///
+    /// If the map is from an earlier era of the store, later moves may be lost. Owners then receive
+    /// only renewals until all leases of that era have expired, and not even those if the map is
+    /// stale.
     #[must_use]
     pub fn inherit(
         settings: ControllerSettings,
         predecessors: PredecessorBounds,
         inherited: InheritedMap,
         writer: u64,
-        lateness: &mut LateOrderDetector,
+        late_orders: &mut LateOrderDetector,
         now: Timestamp,
     ) -> Self {
         let InheritedMap { mut map, era, is_stale } = inherited;
         map.writer = writer;
         map.edit = 1;
-        // One without services was never written, or its writer would have gone on with it.
+        // A map without services was never written.
         let is_new = map.services.is_empty();
         map.unconfirmed |= map.enter_era(era) && !is_new;
-        let mut keeper = Self {
+        let mut controller = Self {
             settings,
             map,
-            work: BTreeMap::new(),
+            range_states: BTreeMap::new(),
             candidates: BTreeMap::new(),
             ended: BTreeSet::new(),
             edit: 1,
-            committed: 0,
-            writing: false,
-            inherited_until: Timestamp::ZERO,
-            doubt: UnconfirmedMap::default(),
+            committed_edit: 0,
+            is_writing: false,
+            predecessors_until: Timestamp::ZERO,
+            unconfirmed: UnconfirmedMap::default(),
         };
-        let sent = |last: LastOrder| {
+        let last_order_sent = |last: LastOrder| {
             if enforced!("successor_adds_grace") { last.latest(now) } else { now }
         };
-        let last_sent = sent(predecessors.last_holder);
-        let until = keeper.lease_bound(last_sent);
-        let previous_until = keeper.lease_bound(sent(predecessors.earlier_holders));
-        if keeper.map.unconfirmed && enforced!("lost_moves") {
-            let late = keeper.map.late_orders || predecessors.late_orders_unknown;
-            let until = if late { until + settings.max_lateness } else { until };
-            keeper.doubt = UnconfirmedMap { until, is_foreign: true, lasts: true };
+        let last_sent = last_order_sent(predecessors.last_holder);
+        let until = controller.lease_bound(last_sent);
+        let previous_until = controller.lease_bound(last_order_sent(predecessors.earlier_holders));
+        if controller.map.unconfirmed && enforced!("lost_moves") {
+            let may_be_late = controller.map.late_orders || predecessors.late_orders_unknown;
+            let until = if may_be_late { until + settings.max_lateness } else { until };
+            controller.unconfirmed = UnconfirmedMap { until, is_inherited: true, is_active: true };
         }
         if last_sent > now {
-            keeper.inherited_until = settings.late_lease_bound(last_sent);
+            controller.predecessors_until = settings.late_lease_bound(last_sent);
         }
-        if keeper.map.late_orders || predecessors.late_orders_unknown {
-            lateness.assume_late_until(until + settings.max_lateness);
+        if controller.map.late_orders || predecessors.late_orders_unknown {
+            late_orders.assume_late_until(until + settings.max_lateness);
         }
-        keeper.expect_holds(until, previous_until);
+        controller.assume_leases(until, previous_until);
         if is_stale && enforced!("stale_map") {
-            keeper.unsettle();
+            controller.unsettle_ranges();
         }
-        if keeper.doubt.lasts {
-            keeper.let_fences_stand();
+        if controller.unconfirmed.is_active {
+            controller.keep_confirmed_fences();
         } else if enforced!("successor_freshens_fences") {
-            keeper.freshen_fences();
+            controller.assign_fresh_fences();
         }
-        keeper
+        controller
     }
 
-    /// Takes no owner for confirmed: others may hold its ranges by now.
-    fn unsettle(&mut self) {
+    /// Marks all grants as not confirmed, because other targets may own the ranges by now.
+    fn unsettle_ranges(&mut self) {
         self.map.services.values_mut().flatten().for_each(|range| range.settled = false);
     }
 
-    /// Has owners renewed under the fences that they have confirmed, for as long as the map is in doubt: a new
-    /// fence would be taken by an owner that was released meanwhile.
-    fn let_fences_stand(&mut self) {
+    /// Renews owners under their confirmed fences while the map is unconfirmed, because an owner that
+    /// was released meanwhile would accept a new fence.
+    fn keep_confirmed_fences(&mut self) {
         let edit = self.edit;
         for (service, ranges) in &self.map.services {
             for range in ranges {
-                let work = self.work.entry((service.clone(), range.first)).or_default();
+                let state = self.range_states.entry((service.clone(), range.first)).or_default();
                 match range.settled {
-                    true => work.standing = Some(ConfirmedFence { fence: range.fence, edit }),
-                    false => work.edit = edit,
+                    true => {
+                        state.confirmed_fence = Some(ConfirmedFence { fence: range.fence, edit })
+                    }
+                    false => state.required_edit = edit,
                 }
             }
         }
     }
 
-    /// Ends the doubt about the map: what holds its ranges now are those whom it names.
-    fn end_doubt(&mut self) {
+    /// Marks the map as confirmed: no target can own a range that the map assigns to another.
+    fn confirm_map(&mut self) {
         self.map.unconfirmed = false;
         self.next_edit();
-        if self.doubt.is_foreign && enforced!("successor_freshens_fences") {
-            self.freshen_fences();
+        if self.unconfirmed.is_inherited && enforced!("successor_freshens_fences") {
+            self.assign_fresh_fences();
         }
     }
 
-    /// Gives every range a fence of this keeper.
+    /// Gives every range a fence of this controller.
     ///
-    /// An order of a predecessor that a target carries out late is refused once the target has confirmed
-    /// a fence of this keeper, whether or not anybody knew that orders were late. Until the take-over is
-    /// in the store, owners are renewed under the fences that they have confirmed, so that no key waits
-    /// for that write.
-    fn freshen_fences(&mut self) {
+    /// A target that has confirmed such a fence refuses late orders of predecessors, even if no late
+    /// orders were detected. Until the takeover is in the store, owners are renewed under their
+    /// confirmed fences, so that no range waits for that write.
+    fn assign_fresh_fences(&mut self) {
         let edit = self.edit;
         for (service, ranges) in &mut self.map.services {
-            // Neighbours that were alike stay alike, so that they can be joined.
+            // Neighbors with equal owner and fence get the same fence, so that they can be merged.
             let mut last: Option<(RangeRecord, u64)> = None;
             for range in ranges {
-                let alike = last.as_ref().filter(|(one, _)| {
-                    one.fence == range.fence && one.owner == range.owner && one.settled
+                let mergeable = last.as_ref().filter(|(left, _)| {
+                    left.fence == range.fence && left.owner == range.owner && left.settled
                 });
-                let fresh = match alike {
+                let fresh = match mergeable {
                     Some((_, fresh)) if range.settled => *fresh,
                     _ => {
                         self.map.fence += 1;
@@ -257,126 +265,130 @@
                     }
                 };
                 last = Some((range.clone(), fresh));
-                let work = self.work.entry((service.clone(), range.first)).or_default();
+                let state = self.range_states.entry((service.clone(), range.first)).or_default();
                 match range.settled {
                     true => {
-                        // The fence of an earlier call may not have been confirmed yet.
-                        let fence = work.standing.map_or(range.fence, |standing| standing.fence);
-                        work.standing = Some(ConfirmedFence { fence, edit });
+                        // The owner may not have confirmed the fence of an earlier call yet.
+                        let fence =
+                            state.confirmed_fence.map_or(range.fence, |confirmed| confirmed.fence);
+                        state.confirmed_fence = Some(ConfirmedFence { fence, edit });
                     }
-                    false => work.edit = edit,
+                    false => state.required_edit = edit,
                 }
                 range.fence = fresh;
             }
         }
     }
 
-    /// Reckons with holds of all holders that the map names until the given times.
-    fn expect_holds(&mut self, owner_until: Timestamp, previous_until: Timestamp) {
-        let lateness = self.settings.max_lateness;
+    /// Assumes that all owners and previous owners in the map have leases until the given times.
+    fn assume_leases(&mut self, owner_until: Timestamp, previous_until: Timestamp) {
+        let max_lateness = self.settings.max_lateness;
         for (service, ranges) in &self.map.services {
             for range in ranges {
-                let work = RangeWork {
-                    owner_until,
-                    owner_debt_until: owner_until + lateness,
-                    previous_until,
-                    previous_debt_until: previous_until + lateness,
-                    ..RangeWork::default()
+                let state = RangeState {
+                    owner_lease_until: owner_until,
+                    owner_late_until: owner_until + max_lateness,
+                    previous_lease_until: previous_until,
+                    previous_late_until: previous_until + max_lateness,
+                    ..RangeState::default()
                 };
-                self.work.insert((service.clone(), range.first), work);
+                self.range_states.insert((service.clone(), range.first), state);
             }
         }
     }
 
-    /// Goes on after the mandate had run out, while nobody else could take it.
+    /// Resumes after the mandate expired without a successor.
     ///
-    /// What this keeper knows of its own orders stays true. But a predecessor may have renewed
-    /// grants until its grace ended, with no store to tell it of this keeper, and targets may have
-    /// carried such orders out late: every hold is taken to last until that is surely over.
+    /// The controller's bounds on its own orders remain valid. A predecessor that could not read the
+    /// store may have renewed grants until its grace time ended, and targets may have executed these
+    /// orders late, so all leases are assumed to last until no such order can have an effect.
     pub fn resume(&mut self) {
-        for work in self.work.values_mut() {
-            work.owner_until = work.owner_until.max(self.inherited_until);
-            // A grant that is under way may turn out not to have been sent.
-            work.confirmed_until = work.confirmed_until.max(self.inherited_until);
-            work.previous_until = work.previous_until.max(self.inherited_until);
+        for state in self.range_states.values_mut() {
+            state.owner_lease_until = state.owner_lease_until.max(self.predecessors_until);
+            // A grant in flight may turn out not to have been sent.
+            state.lease_until_if_not_sent =
+                state.lease_until_if_not_sent.max(self.predecessors_until);
+            state.previous_lease_until = state.previous_lease_until.max(self.predecessors_until);
         }
     }
 
-    /// Goes on in another era of the store, which has lost what this keeper wrote last: no order leaves
-    /// until the map is written again.
+    /// Continues in a new era of the store, which has lost this controller's last writes.
     ///
-    /// `rival_until` is until when another VM may send renewals that had the mandate meanwhile.
+    /// No order is sent until the map is written again. `rival_until` is the time until which another
+    /// VM that took the mandate meanwhile may send renewals.
     pub fn enter_era(&mut self, era: StoreEra, rival_until: Option<Timestamp>) {
         if !self.map.enter_era(era) {
             return;
         }
-        self.committed = 0;
+        self.committed_edit = 0;
         self.next_edit();
         let Some(rival_until) = rival_until.filter(|_| enforced!("rival_moves")) else { return };
-        self.doubt.until = self.doubt.until.max(self.lease_bound(rival_until));
+        self.unconfirmed.until = self.unconfirmed.until.max(self.lease_bound(rival_until));
         self.map.unconfirmed = true;
-        self.doubt.lasts = true;
-        self.work.values_mut().for_each(|work| work.is_doubted = true);
-        self.hold_back_moves();
+        self.unconfirmed.is_active = true;
+        self.range_states.values_mut().for_each(|state| state.is_unconfirmed = true);
+        self.postpone_moves();
     }
 
-    /// Has ranges on the move wait until the map is in no doubt: a release tells nothing of a target that another
-    /// keeper gave them to, nor of the fence that it gave.
-    fn hold_back_moves(&mut self) {
+    /// Postpones moves until the map is confirmed: releasing the previous owner does not affect a
+    /// target to which another controller granted the range, nor reveal the fence of that grant.
+    fn postpone_moves(&mut self) {
         let edit = self.edit;
         for (service, ranges) in &mut self.map.services {
             for range in ranges.iter_mut().filter(|range| !range.settled) {
                 self.map.fence += 1;
                 range.fence = self.map.fence;
-                let work = self.work.entry((service.clone(), range.first)).or_default();
-                work.edit = edit;
-                work.in_flight = false;
-                work.is_refused = true;
+                let state = self.range_states.entry((service.clone(), range.first)).or_default();
+                state.required_edit = edit;
+                state.in_flight = false;
+                state.is_outranked = true;
             }
         }
     }
 
-    /// The map as it stands, written or not.
+    /// The current map, which may not be in the store yet.
     #[must_use]
     pub fn map(&self) -> &RangeMap {
         &self.map
     }
 
-    /// Latest end of a hold whose grant is sent at `sent`.
+    /// Latest end of a lease whose grant is sent at `sent`.
     fn lease_bound(&self, sent: Timestamp) -> Timestamp {
         self.settings.lease_bound(sent)
     }
 
-    /// Marks the map as changed; orders that rest on the change wait for its write.
+    /// Marks the map as changed and returns the number of the edit, which orders that depend on the
+    /// change must wait for.
     fn next_edit(&mut self) -> u64 {
         self.edit += 1;
         self.map.edit = self.edit;
         self.edit
     }
 
-    /// A fence above all that were handed out.
+    /// Issues a fence above all earlier ones.
     fn next_fence(&mut self) -> u64 {
         self.map.fence += u64::from(enforced!("fence_grows"));
         self.map.fence
     }
 
-    /// The map to write, if it changed since the last write was started.
+    /// Starts a write: returns the map and its edit if the store lacks an edit and no write is in
+    /// flight.
     pub fn take_write(&mut self) -> Option<(RangeMap, u64)> {
-        if self.writing || self.committed == self.edit {
+        if self.is_writing || self.committed_edit == self.edit {
             return None;
         }
-        self.writing = true;
+        self.is_writing = true;
         Some((self.map.clone(), self.edit))
     }
 
-    /// Notes that a write is in the store.
+    /// Records that the edit is in the store and ends the write in flight.
     pub fn confirm_write(&mut self, edit: u64) {
-        self.writing = false;
-        self.committed = self.committed.max(edit);
+        self.is_writing = false;
+        self.committed_edit = self.committed_edit.max(edit);
     }
 
-    /// Notes that a write failed without effect and may be tried again.
+    /// Ends the write in flight after it failed without effect, so that it can be retried.
     pub fn abort_write(&mut self) {
-        self.writing = false;
+        self.is_writing = false;
     }
 }
--- a/crates/nickellead_range/src/controller/moves.rs
+++ b/crates/nickellead_range/src/controller/moves.rs
@@ -1,11 +1,11 @@
-//! Moves of ranges: splitting at their edges, starting them, and joining what belongs together.
+//! Moves of ranges: splits at their boundaries, their start, and merges of adjacent ranges.
 
-use super::{RangeController, RangeWork};
+use super::{RangeController, RangeState};
 use crate::plan::split_at;
 use crate::{MoveProposal, RangeRecord};
 
 impl RangeController {
-    /// Starts planned moves; a range that is on the move already is left alone.
+    /// Starts planned moves; ranges that are already moving are skipped.
     pub fn start_moves(&mut self, service: &str, moves: &[MoveProposal]) {
         for proposal in moves {
             self.split(service, proposal.first);
@@ -19,17 +19,18 @@
                     && range.settled
                     && range.owner.as_ref() != Some(&proposal.to)
             };
-            let may_move = |place: &usize| {
-                inside(&ranges[*place]) && self.may_reassign(service, ranges[*place].first)
+            let may_move = |index: &usize| {
+                inside(&ranges[*index]) && self.may_reassign(service, ranges[*index].first)
             };
-            let places: Vec<usize> = (0..ranges.len()).filter(may_move).collect();
-            for place in places {
-                self.reassign(service, place, proposal.to.clone());
+            let indices: Vec<usize> = (0..ranges.len()).filter(may_move).collect();
+            for index in indices {
+                self.reassign(service, index, proposal.to.clone());
             }
         }
     }
 
-    /// Makes `key` the first of its range, with what is known of the whole for both parts.
+    /// Splits the range that contains `key` so that `key` is the first of its range; both subranges
+    /// keep the state of the whole.
     fn split(&mut self, service: &str, key: u16) {
         let Some(ranges) = self.map.services.get_mut(service) else { return };
         let Some(range) = ranges.iter().find(|range| range.first < key && key <= range.last) else {
@@ -37,47 +38,55 @@
         };
         let first = range.first;
         split_at(ranges, key);
-        let mut work = self.work.get(&(service.to_owned(), first)).cloned().unwrap_or_default();
-        // The answer to an order under way is matched by the first key, which is not this part's.
-        work.in_flight = false;
-        self.work.insert((service.to_owned(), key), work);
+        let mut state =
+            self.range_states.get(&(service.to_owned(), first)).cloned().unwrap_or_default();
+        // The response to an order in flight is matched by first key, so only the lower subrange
+        // receives it.
+        state.in_flight = false;
+        self.range_states.insert((service.to_owned(), key), state);
     }
 
-    /// Joins neighbours that one target holds under one fence, so that one renewal serves both.
+    /// Merges adjacent settled ranges with the same owner and fence, so that one renewal serves both.
     pub fn merge(&mut self) {
         for (service, ranges) in &mut self.map.services {
-            let mut place = 1;
-            while place < ranges.len() {
-                let quiet = |range: &RangeRecord| {
-                    let work = self.work.get(&(service.clone(), range.first));
+            let mut index = 1;
+            while index < ranges.len() {
+                let is_mergeable = |range: &RangeRecord| {
+                    let state = self.range_states.get(&(service.clone(), range.first));
                     range.settled
-                        && work.is_some_and(|work| !work.in_flight && work.standing.is_none())
+                        && state.is_some_and(|state| {
+                            !state.in_flight && state.confirmed_fence.is_none()
+                        })
                 };
-                let (left, right) = (&ranges[place - 1], &ranges[place]);
-                let alike = left.owner == right.owner && left.fence == right.fence;
-                if !(alike && quiet(left) && quiet(right)) {
-                    place += 1;
+                let (left, right) = (&ranges[index - 1], &ranges[index]);
+                let same_grant = left.owner == right.owner && left.fence == right.fence;
+                if !(same_grant && is_mergeable(left) && is_mergeable(right)) {
+                    index += 1;
                     continue;
                 }
-                let removed = ranges.remove(place);
-                ranges[place - 1].last = removed.last;
-                let right = self.work.remove(&(service.clone(), removed.first)).unwrap_or_default();
-                let left = self.work.entry((service.clone(), ranges[place - 1].first)).or_default();
+                let removed = ranges.remove(index);
+                ranges[index - 1].last = removed.last;
+                let right =
+                    self.range_states.remove(&(service.clone(), removed.first)).unwrap_or_default();
+                let left = self
+                    .range_states
+                    .entry((service.clone(), ranges[index - 1].first))
+                    .or_default();
                 left.absorb(&right);
             }
         }
     }
 }
 
-impl RangeWork {
-    /// Takes over from a neighbour that is joined to this range; both have the same owner.
-    fn absorb(&mut self, right: &RangeWork) {
-        self.edit = self.edit.max(right.edit);
-        self.owner_until = self.owner_until.max(right.owner_until);
-        self.owner_debt_until = self.owner_debt_until.max(right.owner_debt_until);
-        self.owner_was_silent |= right.owner_was_silent;
-        self.is_doubted |= right.is_doubted;
-        self.is_refused |= right.is_refused;
+impl RangeState {
+    /// Merges the state of the right neighbor, which has the same owner.
+    fn absorb(&mut self, right: &RangeState) {
+        self.required_edit = self.required_edit.max(right.required_edit);
+        self.owner_lease_until = self.owner_lease_until.max(right.owner_lease_until);
+        self.owner_late_until = self.owner_late_until.max(right.owner_late_until);
+        self.owner_may_be_late |= right.owner_may_be_late;
+        self.is_unconfirmed |= right.is_unconfirmed;
+        self.is_outranked |= right.is_outranked;
         self.due = self.due.min(right.due);
     }
 }
--- a/crates/nickellead_range/src/controller/orders.rs
+++ b/crates/nickellead_range/src/controller/orders.rs
@@ -1,54 +1,54 @@
-//! Which orders are due, and whether a range's previous holder is ruled out.
+//! Selection of due orders, and checks that a previous owner can no longer hold a range.
 
 use std::collections::BTreeSet;
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{ConfirmedFence, OrderKind, RangeController, RangeOrder, RangeWork, UnconfirmedMap};
+use super::{ConfirmedFence, OrderKind, RangeController, RangeOrder, RangeState, UnconfirmedMap};
 use crate::{LateOrderDetector, RangeRecord, TargetInstance};
 
 impl RangeController {
     /// The orders that are due; each must be sent at once or reported as
     /// [`OrderOutcome::NotSent`](crate::OrderOutcome::NotSent).
     ///
-    /// With `renewals_only`, which is all that a VM without a valid mandate may
-    /// send, nothing but renewals of confirmed grants is returned.
+    /// `renewals_only` restricts them to renewals of confirmed grants, which is all that a VM may
+    /// send in its grace time.
     pub fn due_orders(
         &mut self,
         now: Timestamp,
         renewals_only: bool,
-        lateness: &LateOrderDetector,
+        late_orders: &LateOrderDetector,
     ) -> Vec<RangeOrder> {
-        if self.map.late_orders != lateness.is_late(now) {
-            // Written down, so that a successor reckons with it.
+        if self.map.late_orders != late_orders.is_late(now) {
+            // Stored, so that a successor allows for late orders.
             self.map.late_orders = !self.map.late_orders;
             self.next_edit();
         }
-        self.doubt.lasts = now < self.doubt.until;
-        if self.map.unconfirmed && !self.doubt.lasts {
-            self.end_doubt();
+        self.unconfirmed.is_active = now < self.unconfirmed.until;
+        if self.map.unconfirmed && !self.unconfirmed.is_active {
+            self.confirm_map();
         }
-        let look = OrderLook {
+        let selection = OrderSelection {
             now,
-            lateness,
+            late_orders,
             renewals_only,
-            committed: self.committed,
-            bound: self.lease_bound(now),
-            doubt: self.doubt,
+            committed_edit: self.committed_edit,
+            lease_bound: self.lease_bound(now),
+            unconfirmed: self.unconfirmed,
         };
         let mut orders = Vec::new();
         let mut ruled_out = false;
         for (service, ranges) in &mut self.map.services {
-            let holders = self.candidates.get(service);
+            let candidates = self.candidates.get(service);
             for range in ranges {
-                let Some(work) = self.work.get_mut(&(service.clone(), range.first)) else {
+                let Some(state) = self.range_states.get_mut(&(service.clone(), range.first)) else {
                     continue;
                 };
-                if !look.may_order(range, work) {
+                if !selection.may_order(range, state) {
                     continue;
                 }
-                ruled_out |= look.rule_out_previous(range, work, &self.ended);
-                orders.extend(look.next_order(service, range, work, holders));
+                ruled_out |= selection.rule_out_previous(range, state, &self.ended);
+                orders.extend(selection.next_order(service, range, state, candidates));
             }
         }
         if ruled_out {
@@ -58,104 +58,107 @@
     }
 }
 
-/// What one look for due orders goes by.
-struct OrderLook<'a> {
+/// Inputs for the selection of due orders.
+struct OrderSelection<'a> {
     now: Timestamp,
-    /// Whether unanswered orders may still be carried out.
-    lateness: &'a LateOrderDetector,
+    late_orders: &'a LateOrderDetector,
     renewals_only: bool,
-    /// Edit of the map that the store is known to hold.
-    committed: u64,
-    /// Latest end of a hold whose grant is sent now.
-    bound: Timestamp,
-    doubt: UnconfirmedMap,
+    /// Last edit of the map that is known to be in the store.
+    committed_edit: u64,
+    /// Latest end of a lease whose grant is sent now.
+    lease_bound: Timestamp,
+    unconfirmed: UnconfirmedMap,
 }
 
-impl OrderLook<'_> {
-    /// Whether an order for the range may leave at all.
-    fn may_order(&self, range: &RangeRecord, work: &RangeWork) -> bool {
-        // A fence of this keeper is confirmed as soon as it may be.
-        let fresh = work.standing.is_some_and(|standing| self.is_confirmed(&standing));
-        if work.in_flight || (work.due > self.now && !fresh) {
+impl OrderSelection<'_> {
+    /// Whether any order for the range may be sent.
+    fn may_order(&self, range: &RangeRecord, state: &RangeState) -> bool {
+        // The owner should confirm a fence of this controller as soon as possible.
+        let has_fresh_fence =
+            state.confirmed_fence.is_some_and(|confirmed| self.is_replaceable(&confirmed));
+        if state.in_flight || (state.due > self.now && !has_fresh_fence) {
             return false;
         }
-        if work.edit > self.committed && enforced!("write_before_order") {
+        if state.required_edit > self.committed_edit && enforced!("write_before_order") {
             return false;
         }
         !(self.renewals_only && !range.settled && enforced!("grace_renews_only"))
     }
 
-    /// Strikes the previous holder off when it surely holds no more; tells whether it did.
+    /// Removes the previous owner if it can no longer hold the range; returns whether it did.
     fn rule_out_previous(
         &self,
         range: &mut RangeRecord,
-        work: &RangeWork,
+        state: &RangeState,
         ended: &BTreeSet<TargetInstance>,
     ) -> bool {
         let Some(previous) = &range.previous else { return false };
-        let late = self.lateness.is_target_late(&previous.id, self.now);
-        // A release that is answered makes late orders harmless, those of others included: it is
-        // tried once in any case.
-        let asked = work.tries > 0 || !enforced!("release_tried");
-        let ruled_out = asked && self.has_lapsed(work, late) || ended.contains(previous);
+        let late = self.late_orders.is_target_late(&previous.id, self.now);
+        // A confirmed release protects against late orders of every VM, so at least one release is
+        // attempted in any case.
+        let attempted = state.release_attempts > 0 || !enforced!("release_tried");
+        let ruled_out =
+            attempted && self.has_previous_expired(state, late) || ended.contains(previous);
         if ruled_out {
             range.previous = None;
         }
         ruled_out
     }
 
-    /// Whether the previous holder's hold has surely lapsed.
-    fn has_lapsed(&self, work: &RangeWork, late: bool) -> bool {
-        let hold_over = self.now >= work.previous_until || !enforced!("hold_surely_lapsed");
-        let debts_count = late || work.previous_was_silent;
-        let debts_over = self.now >= work.previous_debt_until || !enforced!("late_debts");
-        hold_over && (!debts_count || debts_over)
+    /// Whether the previous owner's lease has certainly expired.
+    fn has_previous_expired(&self, state: &RangeState, late: bool) -> bool {
+        let lease_expired =
+            self.now >= state.previous_lease_until || !enforced!("hold_surely_lapsed");
+        let may_be_late = late || state.previous_may_be_late;
+        let late_expired = self.now >= state.previous_late_until || !enforced!("late_debts");
+        lease_expired && (!may_be_late || late_expired)
     }
 
-    /// The order that is next for the range, noted as under way.
+    /// The next order for the range, which is marked as in flight.
     fn next_order(
         &self,
         service: &str,
         range: &RangeRecord,
-        work: &mut RangeWork,
-        holders: Option<&BTreeSet<TargetInstance>>,
+        state: &mut RangeState,
+        candidates: Option<&BTreeSet<TargetInstance>>,
     ) -> Option<RangeOrder> {
         if let Some(previous) = &range.previous
             && enforced!("release_first")
         {
-            work.in_flight = true;
+            state.in_flight = true;
             return Some(self.order(service, range, range.fence, previous, OrderKind::Release));
         }
-        if self.is_doubted(range, work) {
-            work.due = self.doubt.until;
+        if self.may_have_unknown_owner(range, state) {
+            state.due = self.unconfirmed.until;
             return None;
         }
         let owner = range.owner.as_ref()?;
-        if !holders.is_some_and(|holders| holders.contains(owner)) {
+        if !candidates.is_some_and(|candidates| candidates.contains(owner)) {
             return None;
         }
-        work.in_flight = true;
-        work.confirmed_until = work.owner_until;
-        work.owner_until = work.owner_until.max(self.bound);
-        let kind = OrderKind::Grant(work.handover.clone());
-        work.standing = work.standing.filter(|standing| !self.is_confirmed(standing));
-        let fence = work.standing.map_or(range.fence, |standing| standing.fence);
+        state.in_flight = true;
+        state.lease_until_if_not_sent = state.owner_lease_until;
+        state.owner_lease_until = state.owner_lease_until.max(self.lease_bound);
+        let kind = OrderKind::Grant(state.handover.clone());
+        state.confirmed_fence =
+            state.confirmed_fence.filter(|confirmed| !self.is_replaceable(confirmed));
+        let fence = state.confirmed_fence.map_or(range.fence, |confirmed| confirmed.fence);
         Some(self.order(service, range, fence, owner, kind))
     }
 
-    /// Whether the range's own fence may take the place of the standing one.
-    fn is_confirmed(&self, standing: &ConfirmedFence) -> bool {
-        standing.edit <= self.committed && !self.doubt.renews_only()
+    /// Whether the range's own fence may replace the confirmed one.
+    fn is_replaceable(&self, confirmed: &ConfirmedFence) -> bool {
+        confirmed.edit <= self.committed_edit && !self.unconfirmed.renews_only()
     }
 
-    /// Whether another target than those that the map names may hold the range, and would not be told from
-    /// the owner by a grant's fence.
-    fn is_doubted(&self, range: &RangeRecord, work: &RangeWork) -> bool {
-        if !self.doubt.lasts || range.settled {
+    /// Whether a target that the map does not name may own the range without a grant revealing it,
+    /// because the owner accepts any new fence.
+    fn may_have_unknown_owner(&self, range: &RangeRecord, state: &RangeState) -> bool {
+        if !self.unconfirmed.is_active || range.settled {
             return false;
         }
-        let new_fence = work.is_refused || self.doubt.is_foreign;
-        new_fence && work.standing.is_none()
+        let new_fence = state.is_outranked || self.unconfirmed.is_inherited;
+        new_fence && state.confirmed_fence.is_none()
     }
 
     fn order(
@@ -163,7 +166,7 @@
         service: &str,
         range: &RangeRecord,
         fence: u64,
-        holder: &TargetInstance,
+        target: &TargetInstance,
         kind: OrderKind,
     ) -> RangeOrder {
         RangeOrder {
@@ -171,7 +174,7 @@
             first: range.first,
             last: range.last,
             fence,
-            target: holder.clone(),
+            target: target.clone(),
             kind,
             decided_at: self.now,
         }
--- a/crates/nickellead_range/src/controller/outcomes.rs
+++ b/crates/nickellead_range/src/controller/outcomes.rs
@@ -1,46 +1,52 @@
-//! What became of orders.
+//! Application of order outcomes to the map and to the state of ranges.
 
 use nickellead_core::{Timestamp, enforced};
 
-use super::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder, RangeWork};
+use super::{ControllerSettings, OrderKind, OrderOutcome, RangeController, RangeOrder, RangeState};
 use crate::RangeRecord;
 
-/// Silences in a row from which a target's own debts count: a lost target takes no connection, so
-/// only the first order after its loss meets silence.
-const SILENCES_LATE: u32 = 2;
+/// Number of consecutive unanswered grants from which a target may execute them late.
+///
+/// A lost target accepts no connections, so only the first order after its loss is unanswered.
+const MIN_UNANSWERED_GRANTS: u32 = 2;
 
-/// Releases that are not answered are sent again after at most this many times the retry time.
-const RELEASE_SLOWEST: u32 = 5;
+/// Maximum delay between attempts of an unanswered release, in multiples of the retry interval.
+const MAX_RELEASE_BACKOFF_FACTOR: u32 = 5;
 
 impl RangeController {
-    /// Takes in what became of an order that this keeper decided.
+    /// Applies the outcome of an order that this controller decided.
     pub fn apply_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
-        let bound = self.lease_bound(now);
+        let lease_bound = self.lease_bound(now);
         let settings = self.settings;
         let key = (order.service.clone(), order.first);
-        let Some(work) = self.work.get_mut(&key) else { return };
+        let Some(state) = self.range_states.get_mut(&key) else { return };
         let ranges = self.map.services.get_mut(&order.service);
-        let found =
-            ranges.and_then(|ranges| ranges.iter_mut().find(|one| one.first == order.first));
-        let Some(range) = found else { return };
+        let range =
+            ranges.and_then(|ranges| ranges.iter_mut().find(|range| range.first == order.first));
+        let Some(range) = range else { return };
         if outcome == OrderOutcome::Ended {
             self.ended.insert(order.target.clone());
         }
-        let stands = work.standing.is_some_and(|standing| standing.fence == order.fence);
-        if range.fence != order.fence && !stands {
-            // The range went on to another owner; its own orders follow.
+        let is_confirmed_fence =
+            state.confirmed_fence.is_some_and(|confirmed| confirmed.fence == order.fence);
+        if range.fence != order.fence && !is_confirmed_fence {
+            // The range has been reassigned and receives orders of its own.
             return;
         }
-        work.in_flight = false;
+        state.in_flight = false;
         if order.kind == OrderKind::Release {
-            work.note_release(range, outcome, now, settings);
+            state.apply_release(range, outcome, now, settings);
             return;
         }
         match outcome {
             OrderOutcome::Done(_) => {
-                work.is_doubted = false;
-                work.is_refused = false;
-                work.note_granted(bound, order.decided_at + settings.renewal_interval, now);
+                state.is_unconfirmed = false;
+                state.is_outranked = false;
+                state.apply_confirmed_grant(
+                    lease_bound,
+                    order.decided_at + settings.renewal_interval,
+                    now,
+                );
                 if !range.settled {
                     range.settled = true;
                     self.next_edit();
@@ -48,33 +54,33 @@
             }
             OrderOutcome::Outranked => {
                 range.settled = false;
-                work.is_refused = true;
-                work.due = now;
-                work.standing = None;
+                state.is_outranked = true;
+                state.due = now;
+                state.confirmed_fence = None;
                 self.map.fence += u64::from(enforced!("fence_grows"));
                 range.fence = self.map.fence;
                 self.edit += 1;
                 self.map.edit = self.edit;
-                work.edit = self.edit;
+                state.required_edit = self.edit;
             }
             OrderOutcome::NotSent => {
-                // It never left, so the target's hold is what it was: a lost target's keys are free
-                // one hold after the last grant that may have reached it, not after the last try.
-                work.owner_until = work.confirmed_until;
-                work.due = now + settings.retry_interval;
+                // The lease is unchanged. A lost target's keys become free one lease after the last
+                // grant that may have reached it, not after the last attempt.
+                state.owner_lease_until = state.lease_until_if_not_sent;
+                state.due = now + settings.retry_interval;
             }
-            OrderOutcome::Ended => work.due = now + settings.retry_interval,
+            OrderOutcome::Ended => state.due = now + settings.retry_interval,
             OrderOutcome::Unanswered | OrderOutcome::Broken => {
-                work.silences += u32::from(outcome == OrderOutcome::Unanswered);
-                work.note_grant_in_doubt(bound, now, settings);
+                state.unanswered_grants += u32::from(outcome == OrderOutcome::Unanswered);
+                state.apply_unconfirmed_grant(lease_bound, now, settings);
             }
         }
     }
 }
 
-impl RangeWork {
-    /// Takes in what became of a release.
-    fn note_release(
+impl RangeState {
+    /// Applies the outcome of a release.
+    fn apply_release(
         &mut self,
         range: &mut RangeRecord,
         outcome: OrderOutcome,
@@ -95,34 +101,36 @@
             | OrderOutcome::NotSent
             | OrderOutcome::Broken
             | OrderOutcome::Unanswered => {
-                self.tries += 1;
-                self.due = now + settings.retry_interval * self.tries.min(RELEASE_SLOWEST);
+                self.release_attempts += 1;
+                self.due = now
+                    + settings.retry_interval
+                        * self.release_attempts.min(MAX_RELEASE_BACKOFF_FACTOR);
             }
         }
     }
 
-    /// Takes in that the owner confirmed a grant.
-    fn note_granted(&mut self, bound: Timestamp, due: Timestamp, now: Timestamp) {
-        // The hold may have started as late as the answer came.
-        self.owner_until = self.owner_until.max(bound);
+    /// Applies a grant that the owner confirmed; the next renewal is due at `due`.
+    fn apply_confirmed_grant(&mut self, lease_bound: Timestamp, due: Timestamp, now: Timestamp) {
+        // The lease may have started as late as the response arrived.
+        self.owner_lease_until = self.owner_lease_until.max(lease_bound);
         self.due = due;
         self.handover = None;
-        // It works on, so what it left unanswered may still be carried out.
-        self.owner_was_silent |= self.silences > 0;
-        self.owner_was_silent &= now < self.owner_debt_until;
-        self.silences = 0;
+        // The target is running, so it may still execute orders that it left unanswered.
+        self.owner_may_be_late |= self.unanswered_grants > 0;
+        self.owner_may_be_late &= now < self.owner_late_until;
+        self.unanswered_grants = 0;
     }
 
-    /// Takes in that a grant may have taken effect, or may yet.
-    fn note_grant_in_doubt(
+    /// Applies a grant that may have taken effect or may yet do so.
+    fn apply_unconfirmed_grant(
         &mut self,
-        bound: Timestamp,
+        lease_bound: Timestamp,
         now: Timestamp,
         settings: ControllerSettings,
     ) {
-        self.owner_was_silent |= self.silences >= SILENCES_LATE;
-        self.owner_until = self.owner_until.max(bound);
-        self.owner_debt_until = self.owner_debt_until.max(bound + settings.max_lateness);
+        self.owner_may_be_late |= self.unanswered_grants >= MIN_UNANSWERED_GRANTS;
+        self.owner_lease_until = self.owner_lease_until.max(lease_bound);
+        self.owner_late_until = self.owner_late_until.max(lease_bound + settings.max_lateness);
         self.due = now + settings.retry_interval;
     }
 }
