--- a/crates/nickellead_placement/src/lib.rs
+++ b/crates/nickellead_placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! Placement policy as pure functions: which target should hold which shard.
+//! Placement policy as pure functions: which target should own which shard.
 //!
-//! The policy sees only counts and weights, never sockets or clocks. It is
-//! deterministic: the same loads give the same plan.
+//! The policy uses only shard counts and weights, never sockets or clocks, and is deterministic:
+//! equal loads result in equal plans.
 
 mod assign;
 mod rebalance;
@@ -11,19 +11,19 @@
 
 use nickellead_core::TargetKey;
 
-/// What the policy knows of one target.
+/// Load and weight of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetLoad {
     /// The target.
     pub target: TargetKey,
-    /// Requests it runs side by side: its weight.
+    /// Number of requests that the target runs concurrently, which is its weight.
     pub slots: u16,
-    /// Shards it holds or is about to hold.
+    /// Number of shards that the target owns or is about to own.
     pub shards: u32,
 }
 
 impl TargetLoad {
-    /// Load per slot once the target holds `shards`, scaled so that it compares exactly.
+    /// Shards per slot if the target owned `shards`, as a fixed-point number that compares exactly.
     #[must_use]
     pub fn load_per_slot(&self, shards: u32) -> u64 {
         const SCALE: u64 = 1 << 20;
