--- a/crates/nickellead_placement/src/assign.rs
+++ b/crates/nickellead_placement/src/assign.rs
@@ -1,4 +1,4 @@
-//! Owners for shards that have none.
+//! Assignment of owners to shards that have none.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,25 +7,24 @@
 
 use crate::TargetLoad;
 
-/// Chooses an owner for each of `count` shards: always the one with least load per slot.
+/// Assigns each of `count` shards to the target that then has the lowest load per slot.
 ///
-/// The loads are brought up to date. Returns fewer than `count` owners only
-/// when there is no target.
+/// Updates `loads` accordingly. Returns no owners if there are no targets.
 pub fn assign(loads: &mut [TargetLoad], count: usize) -> Vec<TargetKey> {
     let mut heap: BinaryHeap<_> = loads
         .iter()
         .enumerate()
-        .map(|(place, load)| Reverse((load.load_per_slot(load.shards + 1), load.target, place)))
+        .map(|(index, load)| Reverse((load.load_per_slot(load.shards + 1), load.target, index)))
         .collect();
     let mut owners = Vec::with_capacity(count);
     while owners.len() < count {
-        let Some(Reverse((_, target, place))) = heap.pop() else {
+        let Some(Reverse((_, target, index))) = heap.pop() else {
             break;
         };
-        let load = &mut loads[place];
+        let load = &mut loads[index];
         load.shards += 1;
         owners.push(target);
-        heap.push(Reverse((load.load_per_slot(load.shards + 1), target, place)));
+        heap.push(Reverse((load.load_per_slot(load.shards + 1), target, index)));
     }
     owners
 }
