--- a/crates/nickellead_placement/src/rebalance.rs
+++ b/crates/nickellead_placement/src/rebalance.rs
@@ -1,4 +1,4 @@
-//! Planned moves: from targets that leave, and from the loaded to the idle.
+//! Planning of moves away from leaving targets and from more loaded to less loaded targets.
 
 use nickellead_core::TargetKey;
 
@@ -7,18 +7,19 @@
 /// One planned move of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MovePlan {
-    /// The owner now.
+    /// The current owner.
     pub from: TargetKey,
-    /// The owner to be.
+    /// The next owner.
     pub to: TargetKey,
 }
 
-/// How much a plan may move, and for how little.
+/// Limits on the moves of one plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RebalanceLimits {
-    /// Most moves of one plan.
+    /// Maximum number of moves.
     pub max_moves: usize,
-    /// Least gap between the fullest and the emptiest, in percent of the fullest.
+    /// A move for balance requires the gap in load per slot between the most and the least loaded
+    /// target to exceed this percentage of the highest load per slot.
     pub min_gap_percent: u8,
 }
 
@@ -28,11 +29,10 @@
     }
 }
 
-/// Plans moves: first all that `leaving` targets hold, then for balance.
+/// Plans moves of all shards of `leaving` targets first, then moves for balance.
 ///
-/// A move for balance is planned only when the gap in load per slot is above
-/// the limit and the move makes the pair strictly more even, so that plans
-/// come to rest.
+/// A move for balance is planned only if the gap in load per slot exceeds the limit and the
+/// receiver stays less loaded than the giver was. Repeated planning therefore terminates.
 pub fn plan_moves(
     leaving: &[TargetLoad],
     staying: &mut [TargetLoad],
@@ -40,7 +40,7 @@
 ) -> Vec<MovePlan> {
     let mut plans = plan_leaving(leaving, staying, limits.max_moves);
     while plans.len() < limits.max_moves {
-        let Some(plan) = plan_one(staying, limits.min_gap_percent) else {
+        let Some(plan) = plan_balance_move(staying, limits.min_gap_percent) else {
             break;
         };
         plans.push(plan);
@@ -48,20 +48,24 @@
     plans
 }
 
-fn plan_leaving(leaving: &[TargetLoad], staying: &mut [TargetLoad], most: usize) -> Vec<MovePlan> {
+fn plan_leaving(
+    leaving: &[TargetLoad],
+    staying: &mut [TargetLoad],
+    max_moves: usize,
+) -> Vec<MovePlan> {
     let mut plans = Vec::new();
     for load in leaving {
-        let count = (load.shards as usize).min(most - plans.len());
+        let count = (load.shards as usize).min(max_moves - plans.len());
         let owners = crate::assign(staying, count);
         plans.extend(owners.into_iter().map(|to| MovePlan { from: load.target, to }));
     }
     plans
 }
 
-fn plan_one(loads: &mut [TargetLoad], gap_percent: u8) -> Option<MovePlan> {
-    let fullest = position_of(loads, |load, other| load > other)?;
-    let emptiest = position_of(loads, |load, other| load < other)?;
-    let (from, to) = (loads[fullest], loads[emptiest]);
+fn plan_balance_move(loads: &mut [TargetLoad], gap_percent: u8) -> Option<MovePlan> {
+    let most_loaded = position_of(loads, |load, other| load > other)?;
+    let least_loaded = position_of(loads, |load, other| load < other)?;
+    let (from, to) = (loads[most_loaded], loads[least_loaded]);
     let high = from.load_per_slot(from.shards);
     let low = to.load_per_slot(to.shards);
     let gap = high.saturating_sub(low);
@@ -69,17 +73,17 @@
     if !improves || gap * 100 <= high * u64::from(gap_percent) {
         return None;
     }
-    loads[fullest].shards -= 1;
-    loads[emptiest].shards += 1;
+    loads[most_loaded].shards -= 1;
+    loads[least_loaded].shards += 1;
     Some(MovePlan { from: from.target, to: to.target })
 }
 
 fn position_of(loads: &[TargetLoad], better: impl Fn(u64, u64) -> bool) -> Option<usize> {
     let mut best: Option<usize> = None;
-    for (place, load) in loads.iter().enumerate() {
-        let ratio = load.load_per_slot(load.shards);
-        if best.is_none_or(|known| better(ratio, loads[known].load_per_slot(loads[known].shards))) {
-            best = Some(place);
+    for (index, load) in loads.iter().enumerate() {
+        let value = load.load_per_slot(load.shards);
+        if best.is_none_or(|best| better(value, loads[best].load_per_slot(loads[best].shards))) {
+            best = Some(index);
         }
     }
     best
