--- a/crates/nickellead_placement/tests/policy.rs
+++ b/crates/nickellead_placement/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The policy's plans: even, few, and at rest when nothing is to be gained.
+//! Plans of the placement policy are balanced, minimal, and empty when no move improves them.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_core::TargetKey;
@@ -13,7 +13,7 @@
     shards.iter().enumerate().map(load).collect()
 }
 
-const WIDE: RebalanceLimits = RebalanceLimits { max_moves: 1_000, min_gap_percent: 5 };
+const MANY_MOVES: RebalanceLimits = RebalanceLimits { max_moves: 1_000, min_gap_percent: 5 };
 
 #[test]
 fn shards_without_owner_are_spread_evenly_and_by_slots() {
@@ -28,32 +28,32 @@
 }
 
 #[test]
-fn a_lost_targets_shards_are_all_that_moves() {
+fn only_the_shards_of_a_lost_target_move() {
     let mut staying = loads(&[100, 100, 100]);
     assign(&mut staying, 100);
-    let plans = plan_moves(&[], &mut staying, WIDE);
+    let plans = plan_moves(&[], &mut staying, MANY_MOVES);
     assert!(plans.is_empty(), "{plans:?}");
 }
 
 #[test]
-fn a_joining_target_gets_its_share_with_the_fewest_moves() {
+fn a_joining_target_gets_its_fair_load_with_the_fewest_moves() {
     let mut staying = loads(&[300, 300, 300, 0]);
-    let plans = plan_moves(&[], &mut staying, WIDE);
-    let least = 225;
-    assert!(plans.len() <= least, "{} moves", plans.len());
+    let plans = plan_moves(&[], &mut staying, MANY_MOVES);
+    let max_moves = 225;
+    assert!(plans.len() <= max_moves, "{} moves", plans.len());
     assert!(plans.iter().all(|plan| plan.to == TargetKey(3)));
-    let most = staying.iter().map(|load| load.shards).max().unwrap();
-    let fewest = staying.iter().map(|load| load.shards).min().unwrap();
-    assert!(most - fewest <= most / 20 + 1, "{staying:?}");
-    assert!(plan_moves(&[], &mut staying, WIDE).is_empty(), "the plan does not come to rest");
+    let highest = staying.iter().map(|load| load.shards).max().unwrap();
+    let lowest = staying.iter().map(|load| load.shards).min().unwrap();
+    assert!(highest - lowest <= highest / 20 + 1, "{staying:?}");
+    assert!(plan_moves(&[], &mut staying, MANY_MOVES).is_empty(), "a second plan must be empty");
 }
 
 #[test]
-fn a_leaving_target_gives_everything_away_within_the_budget() {
+fn a_leaving_target_loses_all_shards_within_the_move_limit() {
     let leaving = loads(&[70]);
     let mut staying = loads(&[0, 50, 50]);
     staying.remove(0);
     let limits = RebalanceLimits { max_moves: 64, min_gap_percent: 5 };
     assert_eq!(plan_moves(&leaving, &mut staying.clone(), limits).len(), 64);
-    assert_eq!(plan_moves(&leaving, &mut staying, WIDE).len(), 70);
+    assert_eq!(plan_moves(&leaving, &mut staying, MANY_MOVES).len(), 70);
 }
