--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -1,7 +1,7 @@
 //! How long the keys of a lost target wait.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     InheritedMap, LastOrder, LateOrderDetector, OrderOutcome, OwnerCandidate, PredecessorBounds,
     RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
-use world::{SERVICE, holder, settings};
+use simulation::{SERVICE, holder, settings};
 
 /// Between two looks of these tests.
 const LOOK: Duration = Duration::from_millis(100);
@@ -93,17 +93,17 @@
 #[test]
 fn grants_that_were_never_sent_do_not_prolong_a_hold() {
     let (lost, unlisted) = (Timestamp(10_000), Timestamp(13_500));
-    let mut world = LostTarget::new(lost, unlisted);
+    let mut simulation = LostTarget::new(lost, unlisted);
     let mut last_renewal = Timestamp::ZERO;
     let mut now = Timestamp::ZERO;
     let freed = loop {
         now = now + LOOK;
-        for (order, outcome) in world.step(now) {
+        for (order, outcome) in simulation.step(now) {
             if order.target == lost_holder() && outcome == OrderOutcome::Done(None) {
                 last_renewal = now;
             }
         }
-        let ranges = &world.keeper.map().services[SERVICE];
+        let ranges = &simulation.keeper.map().services[SERVICE];
         if now > unlisted && ranges.iter().all(|range| range.settled) {
             break now;
         }
@@ -127,28 +127,28 @@
     let taken = Timestamp(20_000);
     let last = LastOrder::After(RENEWAL_GRACE);
     let predecessors = PredecessorBounds { last_holder: last, ..NO_PREDECESSORS };
-    let mut world = LostTarget::new(taken, taken + LOOK * 3);
-    world.keeper = RangeController::inherit(
+    let mut simulation = LostTarget::new(taken, taken + LOOK * 3);
+    simulation.keeper = RangeController::inherit(
         settings(),
         predecessors,
         InheritedMap { map: before, ..InheritedMap::default() },
         2,
-        &mut world.lateness,
+        &mut simulation.lateness,
         taken,
     );
-    let under_way = world.decide(taken);
+    let under_way = simulation.decide(taken);
     assert!(under_way.iter().any(|order| order.target == lost_holder()));
-    world.keeper.resume();
+    simulation.keeper.resume();
     let mut now = taken + LOOK * 2;
     for order in under_way {
-        world.keeper.apply_outcome(&order, world.outcome(&order, now), now);
+        simulation.keeper.apply_outcome(&order, simulation.outcome(&order, now), now);
     }
-    while world.keeper.map().services[SERVICE]
+    while simulation.keeper.map().services[SERVICE]
         .iter()
         .any(|range| !range.settled || range.owner == Some(lost_holder()))
     {
         now = now + LOOK;
-        world.step(now);
+        simulation.step(now);
         assert!(now < Timestamp(60_000), "the keys never got an owner");
     }
     let bound = settings().late_lease_bound(taken + RENEWAL_GRACE);
--- a/crates/nickellead_range/tests/late_orders.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -1,7 +1,7 @@
 //! When unanswered orders count as carried out late.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use nickellead_core::Timestamp;
 
@@ -9,7 +9,7 @@
     InheritedMap, LastOrder, LateOrderDetector, OrderKind, OrderOutcome, OwnerCandidate,
     PredecessorBounds, RangeController, RangeOrder,
 };
-use world::{SERVICE, holder, settings};
+use simulation::{SERVICE, holder, settings};
 
 /// A map that nobody kept before.
 const NO_PREDECESSORS: PredecessorBounds = PredecessorBounds {
--- a/crates/nickellead_range/tests/schedules.rs
+++ b/crates/nickellead_range/tests/schedules.rs
@@ -1,9 +1,9 @@
 //! Random schedules of disturbances: never two owners, never a fence that is not higher.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
-mod world;
+mod simulation;
 
-use world::{BLOCKS, STEP_MS, Trouble, World};
+use simulation::{BLOCKS, Fault, STEP_MS, Simulation};
 
 /// Schedules of an ordinary run; `SCHEDULES` in the environment asks for more.
 const SCHEDULES: u64 = 300;
@@ -61,35 +61,35 @@
     std::env::var("SCHEDULES").ok().and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-fn random_trouble(rng: &mut fastrand::Rng) -> Trouble {
+fn random_fault(rng: &mut fastrand::Rng) -> Fault {
     let target = rng.usize(..4);
     let vm = rng.usize(..2);
     match rng.u8(..11) {
-        0 => Trouble::TargetCrash(target),
-        1 => Trouble::TargetUnlisted(target),
-        2 => Trouble::TargetCut(target),
-        3 => Trouble::LinkCut(vm, target),
-        4 => Trouble::LateOrders,
-        5 => Trouble::VmKill(vm),
-        6 => Trouble::VmFreeze(vm),
-        7 => Trouble::VmCut(vm),
-        8 => Trouble::StoreDown,
-        9 => Trouble::AnswersLost,
-        _ => Trouble::WritesLate,
+        0 => Fault::TargetCrash(target),
+        1 => Fault::TargetUnlisted(target),
+        2 => Fault::TargetCut(target),
+        3 => Fault::LinkCut(vm, target),
+        4 => Fault::LateOrders,
+        5 => Fault::VmKill(vm),
+        6 => Fault::VmFreeze(vm),
+        7 => Fault::VmCut(vm),
+        8 => Fault::StoreDown,
+        9 => Fault::AnswersLost,
+        _ => Fault::WritesLate,
     }
 }
 
 /// The same, or the store comes back from a copy.
-fn random_trouble_or_older(rng: &mut fastrand::Rng) -> Trouble {
+fn random_fault_or_restore(rng: &mut fastrand::Rng) -> Fault {
     match rng.u8(..4) {
-        0 => Trouble::StoreOlder,
-        _ => random_trouble(rng),
+        0 => Fault::StoreOlder,
+        _ => random_fault(rng),
     }
 }
 
-fn run_for(world: &mut World, length_ms: u64) {
+fn run_for(simulation: &mut Simulation, length_ms: u64) {
     for _ in 0..length_ms / STEP_MS {
-        world.step();
+        simulation.step();
     }
 }
 
@@ -100,32 +100,36 @@
 const GRANTS_LEAST_OLDER: u64 = 40;
 
 fn play(seed: u64) {
-    play_with(seed, random_trouble, GRANTS_LEAST);
+    play_with(seed, random_fault, GRANTS_LEAST);
 }
 
-fn play_with(seed: u64, trouble: fn(&mut fastrand::Rng) -> Trouble, least: u64) {
-    let mut world = World::new(seed);
-    world.moves = false;
-    run_for(&mut world, 4_000);
-    assert_eq!(world.owned_blocks(), BLOCKS, "seed {seed}: a calm start gives every key an owner");
-    world.moves = true;
+fn play_with(seed: u64, fault: fn(&mut fastrand::Rng) -> Fault, least: u64) {
+    let mut simulation = Simulation::new(seed);
+    simulation.moves = false;
+    run_for(&mut simulation, 4_000);
+    assert_eq!(
+        simulation.owned_blocks(),
+        BLOCKS,
+        "seed {seed}: a calm start gives every key an owner"
+    );
+    simulation.moves = true;
     let mut left = LENGTH_MS;
     while left > 0 {
-        let trouble = trouble(&mut world.rng);
-        let length = match trouble {
-            Trouble::StoreOlder => world.rng.u64(400..3_200),
-            _ => world.rng.u64(100..9_000),
+        let fault = fault(&mut simulation.rng);
+        let length = match fault {
+            Fault::StoreOlder => simulation.rng.u64(400..3_200),
+            _ => simulation.rng.u64(100..9_000),
         };
-        world.start(trouble, length);
-        let gap = world.rng.u64(50..4_000).min(left);
-        run_for(&mut world, gap);
+        simulation.start(fault, length);
+        let gap = simulation.rng.u64(50..4_000).min(left);
+        run_for(&mut simulation, gap);
         left -= gap;
     }
-    world.moves = false;
-    run_for(&mut world, CALM_MS);
-    assert!(world.grants > least, "seed {seed}: only {} grants", world.grants);
-    let owned = world.owned_blocks();
-    let state = if owned < BLOCKS { world.describe() } else { String::new() };
+    simulation.moves = false;
+    run_for(&mut simulation, CALM_MS);
+    assert!(simulation.grants > least, "seed {seed}: only {} grants", simulation.grants);
+    let owned = simulation.owned_blocks();
+    let state = if owned < BLOCKS { simulation.describe() } else { String::new() };
     assert_eq!(owned, BLOCKS, "seed {seed}: in calm every key has an owner again\n{state}");
 }
 
@@ -144,7 +148,7 @@
     let first = std::env::var("FIRST_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
     for seed in first..first + schedules() {
         let played = std::panic::catch_unwind(|| {
-            play_with(seed, random_trouble_or_older, GRANTS_LEAST_OLDER)
+            play_with(seed, random_fault_or_restore, GRANTS_LEAST_OLDER)
         });
         assert!(played.is_ok(), "seed {seed} fails: FIRST_SEED={seed} SCHEDULES=1 repeats it");
     }
@@ -154,10 +158,10 @@
 #[test]
 fn schedules_with_a_store_that_comes_back_older_and_failed_once_pass() {
     for (seed, cause) in FOUND_OLDER {
-        let play = || play_with(seed, random_trouble_or_older, GRANTS_LEAST_OLDER);
+        let play = || play_with(seed, random_fault_or_restore, GRANTS_LEAST_OLDER);
         assert!(std::panic::catch_unwind(play).is_ok(), "seed {seed} fails again: {cause}");
     }
-    play_with(GUARD_OLDER, random_trouble_or_older, GRANTS_LEAST_OLDER);
+    play_with(GUARD_OLDER, random_fault_or_restore, GRANTS_LEAST_OLDER);
 }
 
 #[test]
--- a/crates/nickellead_range/tests/world/mod.rs
+++ b/crates/nickellead_range/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A small world: targets that hold keys, VMs that decide, a store, and disturbances.
+//! A small simulation: targets that hold keys, VMs that decide, a store, and disturbances.
 //!
 //! Keys come in blocks; ranges begin and end at their edges. The targets judge:
 //! whenever one takes a block, no other may hold it, and its fence must be
@@ -17,10 +17,10 @@
     Revision, StoreEra, Stored, TargetInstance,
 };
 
-use target::WorldTarget;
-use vm::WorldVm;
+use target::SimulatedTarget;
+use vm::SimulatedVm;
 
-/// Length of one step of the world, in milliseconds.
+/// Length of one step of the simulation, in milliseconds.
 pub const STEP_MS: u64 = 20;
 /// Blocks of keys.
 pub const BLOCKS: usize = 32;
@@ -38,7 +38,7 @@
 /// How old a copy is from which the store comes back.
 const COPY_AGES_MS: std::ops::Range<u64> = 1_000..9_000;
 
-/// The keeper's settings in the world.
+/// The keeper's settings in the simulation.
 pub fn settings() -> ControllerSettings {
     ControllerSettings {
         lease: Duration::from_millis(4_500),
@@ -52,7 +52,7 @@
 
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// A target dies and comes back as another life.
     TargetCrash(usize),
     /// A target can't reach the store: its entry lapses, and it works on.
@@ -91,7 +91,7 @@
 
 /// The store: two documents with conditional writes.
 #[derive(Clone, Default)]
-pub struct WorldStore {
+pub struct SimulatedStore {
     pub era: StoreEra,
     revision: u64,
     pub map: Option<Stored<RangeMap>>,
@@ -104,7 +104,7 @@
     Mandate(Option<Revision>, MandateRecord),
 }
 
-impl WorldStore {
+impl SimulatedStore {
     /// This copy as the store of a new era: its objects keep the numbers of their revisions.
     fn brought_back(mut self, era: StoreEra) -> Self {
         let in_era = |revision: Revision| Revision { era, ..revision };
@@ -148,17 +148,17 @@
 }
 
 /// Everything.
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub rng: fastrand::Rng,
-    pub store: WorldStore,
-    pub targets: Vec<WorldTarget>,
-    pub vms: Vec<WorldVm>,
-    troubles: Vec<(Trouble, u64)>,
+    pub store: SimulatedStore,
+    pub targets: Vec<SimulatedTarget>,
+    pub vms: Vec<SimulatedVm>,
+    faults: Vec<(Fault, u64)>,
     sent: Vec<SentOrder>,
     late_writes: Vec<(u64, LateWrite)>,
     /// What the store held, and when.
-    copies: VecDeque<(u64, WorldStore)>,
+    copies: VecDeque<(u64, SimulatedStore)>,
     next_life: u64,
     /// Whether VMs start moves of their own accord.
     pub moves: bool,
@@ -166,18 +166,18 @@
     pub grants: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let targets = (0..TARGETS).map(|place| WorldTarget::new(place, &mut rng)).collect();
-        let vms = (0..VMS).map(|place| WorldVm::new(place, 1 + place as u64)).collect();
+        let targets = (0..TARGETS).map(|place| SimulatedTarget::new(place, &mut rng)).collect();
+        let vms = (0..VMS).map(|place| SimulatedVm::new(place, 1 + place as u64)).collect();
         Self {
             now: 1_000,
             rng,
-            store: WorldStore { era: StoreEra(1), ..WorldStore::default() },
+            store: SimulatedStore { era: StoreEra(1), ..SimulatedStore::default() },
             targets,
             vms,
-            troubles: Vec::new(),
+            faults: Vec::new(),
             sent: Vec::new(),
             late_writes: Vec::new(),
             copies: VecDeque::new(),
@@ -191,30 +191,30 @@
         Timestamp(self.now)
     }
 
-    /// Whether a trouble goes on.
-    pub fn has(&self, trouble: Trouble) -> bool {
-        self.troubles.iter().any(|(one, _)| *one == trouble)
+    /// Whether a fault goes on.
+    pub fn has(&self, fault: Fault) -> bool {
+        self.faults.iter().any(|(one, _)| *one == fault)
     }
 
-    /// Starts a trouble for a while.
-    pub fn start(&mut self, trouble: Trouble, length_ms: u64) {
+    /// Starts a fault for a while.
+    pub fn start(&mut self, fault: Fault, length_ms: u64) {
         if std::env::var_os("TRACE").is_some() {
-            eprintln!("{} {trouble:?} for {length_ms}", self.now);
+            eprintln!("{} {fault:?} for {length_ms}", self.now);
         }
-        match trouble {
-            Trouble::TargetCrash(place) => {
+        match fault {
+            Fault::TargetCrash(place) => {
                 self.next_life += 1;
                 let back = self.now + length_ms;
                 self.targets[place].crash(self.next_life, back);
             }
-            Trouble::VmKill(place) => {
+            Fault::VmKill(place) => {
                 self.next_life += 1;
                 let back = self.now + length_ms;
-                self.vms[place] = WorldVm::new(place, self.next_life);
+                self.vms[place] = SimulatedVm::new(place, self.next_life);
                 self.vms[place].stands_until = back;
             }
-            Trouble::VmFreeze(place) => self.vms[place].stands_until = self.now + length_ms,
-            _ => self.troubles.push((trouble, self.now + length_ms)),
+            Fault::VmFreeze(place) => self.vms[place].stands_until = self.now + length_ms,
+            _ => self.faults.push((fault, self.now + length_ms)),
         }
     }
 
@@ -222,8 +222,8 @@
     pub fn listed(&self) -> Vec<OwnerCandidate> {
         let listed = |place: &usize| {
             let target = &self.targets[*place];
-            // Three heartbeats without a write and the entry is gone; this world rounds to none.
-            target.is_up(self.now) && !self.has(Trouble::TargetUnlisted(*place))
+            // Three heartbeats without a write and the entry is gone; this simulation rounds to none.
+            target.is_up(self.now) && !self.has(Fault::TargetUnlisted(*place))
         };
         let candidate = |place: usize| OwnerCandidate {
             target: self.targets[place].holder(),
@@ -237,10 +237,10 @@
     pub fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        let was_lost = self.has(Trouble::StoreOlder);
-        self.troubles.retain(|(_, until)| *until > now);
+        let was_lost = self.has(Fault::StoreOlder);
+        self.faults.retain(|(_, until)| *until > now);
         self.do_late_writes();
-        if was_lost && !self.has(Trouble::StoreOlder) {
+        if was_lost && !self.has(Fault::StoreOlder) {
             self.come_back_older();
         }
         // Before that the keys would be divided anew, and not at the edges of blocks.
@@ -303,7 +303,7 @@
         map: &RangeMap,
     ) -> Result<Option<Revision>, ()> {
         self.call_store(vm)?;
-        if self.has(Trouble::WritesLate) && self.rng.bool() {
+        if self.has(Fault::WritesLate) && self.rng.bool() {
             let at = self.now + self.rng.u64(1_000..6_000);
             self.late_writes.push((at, LateWrite::Map(expected, map.clone())));
             return Err(());
@@ -321,7 +321,7 @@
         record: &MandateRecord,
     ) -> Result<Option<Revision>, ()> {
         self.call_store(vm)?;
-        if self.has(Trouble::WritesLate) && self.rng.bool() {
+        if self.has(Fault::WritesLate) && self.rng.bool() {
             let at = self.now + self.rng.u64(1_000..6_000);
             self.late_writes.push((at, LateWrite::Mandate(expected, record.clone())));
             return Err(());
@@ -333,15 +333,15 @@
 
     /// Whether a call of the store reaches it.
     pub fn call_store(&self, vm: usize) -> Result<(), ()> {
-        let down = self.has(Trouble::StoreDown) || self.has(Trouble::StoreOlder);
-        match down || self.has(Trouble::VmCut(vm)) {
+        let down = self.has(Fault::StoreDown) || self.has(Fault::StoreOlder);
+        match down || self.has(Fault::VmCut(vm)) {
             true => Err(()),
             false => Ok(()),
         }
     }
 
     fn lose_answer(&mut self) -> Result<(), ()> {
-        match self.has(Trouble::AnswersLost) && self.rng.bool() {
+        match self.has(Fault::AnswersLost) && self.rng.bool() {
             true => Err(()),
             false => Ok(()),
         }
@@ -353,13 +353,13 @@
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} vm {vm} sends {order:?}", self.now);
         }
-        let cut = self.has(Trouble::TargetCut(place)) || self.has(Trouble::LinkCut(vm, place));
+        let cut = self.has(Fault::TargetCut(place)) || self.has(Fault::LinkCut(vm, place));
         if cut || !self.targets[place].answers(self.now) {
             // The connection is refused or silent; what was sent is thrown away by the reset.
             let outcomes = [OrderOutcome::Unanswered, OrderOutcome::Broken, OrderOutcome::NotSent];
             return Some(outcomes[self.rng.usize(..outcomes.len())].clone());
         }
-        let late = self.has(Trouble::LateOrders) && self.rng.bool();
+        let late = self.has(Fault::LateOrders) && self.rng.bool();
         let delay = if late { self.rng.u64(2_000..12_000) } else { self.rng.u64(1..30) };
         let incarnation = self.vms[vm].incarnation;
         let arrives = self.now + delay;
--- a/crates/nickellead_range/tests/world/target.rs
+++ b/crates/nickellead_range/tests/simulation/target.rs
@@ -13,7 +13,7 @@
 }
 
 /// One target.
-pub struct WorldTarget {
+pub struct SimulatedTarget {
     place: usize,
     life: u64,
     back_at: u64,
@@ -37,7 +37,7 @@
     (first / BLOCK_KEYS) as usize..(after / BLOCK_KEYS) as usize
 }
 
-impl WorldTarget {
+impl SimulatedTarget {
     pub fn new(place: usize, rng: &mut fastrand::Rng) -> Self {
         Self {
             place,
--- a/crates/nickellead_range/tests/world/vm.rs
+++ b/crates/nickellead_range/tests/simulation/vm.rs
@@ -9,13 +9,13 @@
     RangeOrder, Revision, Stored, WriteOutcome, classify_write,
 };
 
-use super::{BLOCK_KEYS, BLOCKS, SERVICE, World, settings};
+use super::{BLOCK_KEYS, BLOCKS, SERVICE, Simulation, settings};
 
 /// Orders decided longer ago than this are not sent.
 const AGE_MOST: Duration = Duration::from_millis(250);
 
 /// One VM.
-pub struct WorldVm {
+pub struct SimulatedVm {
     pub incarnation: u64,
     pub stands_until: u64,
     /// Orders decided and not sent yet: a VM may stand still in between.
@@ -34,7 +34,7 @@
     read_back_at: Option<u64>,
 }
 
-impl WorldVm {
+impl SimulatedVm {
     pub fn new(place: usize, incarnation: u64) -> Self {
         let address = ([127, 0, 0, 1], 9_000 + place as u16).into();
         let mandate =
@@ -56,7 +56,7 @@
     }
 }
 
-impl WorldVm {
+impl SimulatedVm {
     /// Takes in what became of an order.
     fn note_outcome(&mut self, order: &RangeOrder, outcome: OrderOutcome, now: Timestamp) {
         self.lateness.observe_outcome(order, &outcome, now, settings().late_lease_bound(now));
@@ -89,16 +89,16 @@
 }
 
 /// One step of the VM at `place`.
-pub fn step(world: &mut World, place: usize) {
-    if world.vms[place].stands_until > world.now {
+pub fn step(simulation: &mut Simulation, place: usize) {
+    if simulation.vms[place].stands_until > simulation.now {
         return;
     }
-    let now = world.time();
-    send_pending(world, place, now);
-    step_mandate(world, place, now);
-    let power = world.vms[place].mandate.authority(now);
-    let outcomes = std::mem::take(&mut world.vms[place].outcomes);
-    let vm = &mut world.vms[place];
+    let now = simulation.time();
+    send_pending(simulation, place, now);
+    step_mandate(simulation, place, now);
+    let power = simulation.vms[place].mandate.authority(now);
+    let outcomes = std::mem::take(&mut simulation.vms[place].outcomes);
+    let vm = &mut simulation.vms[place];
     if !vm.mandate.is_held() {
         vm.keeper = None;
     }
@@ -111,84 +111,84 @@
         keeper.resume();
     }
     if power == MandateAuthority::Full {
-        keep_map(world, place, now);
+        keep_map(simulation, place, now);
     }
-    let vm = &mut world.vms[place];
+    let vm = &mut simulation.vms[place];
     if let Some(keeper) = &mut vm.keeper {
         let only = power == MandateAuthority::RenewalsOnly;
         vm.pending.extend(keeper.due_orders(now, only, &vm.lateness));
     }
     // Most of the time orders leave at once; sometimes the VM stands still first.
-    if world.rng.u8(..20) > 0 {
-        send_pending(world, place, now);
+    if simulation.rng.u8(..20) > 0 {
+        send_pending(simulation, place, now);
     }
 }
 
-fn send_pending(world: &mut World, place: usize, now: Timestamp) {
-    for order in std::mem::take(&mut world.vms[place].pending) {
-        let power = world.vms[place].mandate.authority(now);
+fn send_pending(simulation: &mut Simulation, place: usize, now: Timestamp) {
+    for order in std::mem::take(&mut simulation.vms[place].pending) {
+        let power = simulation.vms[place].mandate.authority(now);
         let stale = now.since(order.decided_at) > AGE_MOST;
         let outcome = match power == MandateAuthority::None || stale {
             true => Some(OrderOutcome::NotSent),
-            false => world.send_order(place, &order),
+            false => simulation.send_order(place, &order),
         };
         if let Some(outcome) = outcome {
-            world.vms[place].note_outcome(&order, outcome, now);
+            simulation.vms[place].note_outcome(&order, outcome, now);
         }
     }
 }
 
-fn step_mandate(world: &mut World, place: usize, now: Timestamp) {
-    if world.now < world.vms[place].mandate_due {
+fn step_mandate(simulation: &mut Simulation, place: usize, now: Timestamp) {
+    if simulation.now < simulation.vms[place].mandate_due {
         return;
     }
-    let held = world.vms[place].mandate.is_held();
+    let held = simulation.vms[place].mandate.is_held();
     let pause = if held { MANDATE_RENEWAL_INTERVAL } else { MANDATE_POLL_INTERVAL };
-    let spread = world.rng.u64(0..100);
-    world.vms[place].mandate_due = world.now + pause.as_millis() as u64 + spread;
-    if !held || world.vms[place].mandate.is_outdated() {
-        if world.call_store(place).is_err() {
-            world.vms[place].mandate.observe_store_failure(now);
+    let spread = simulation.rng.u64(0..100);
+    simulation.vms[place].mandate_due = simulation.now + pause.as_millis() as u64 + spread;
+    if !held || simulation.vms[place].mandate.is_outdated() {
+        if simulation.call_store(place).is_err() {
+            simulation.vms[place].mandate.observe_store_failure(now);
             return;
         }
-        let read = world.store.mandate.clone();
-        let era = world.store.era;
-        world.vms[place].mandate.observe_store_response(now);
-        world.vms[place].mandate.observe_era(era, now);
-        if world.vms[place].mandate.apply_read(read, now) {
-            world.vms[place].keeper = None;
+        let read = simulation.store.mandate.clone();
+        let era = simulation.store.era;
+        simulation.vms[place].mandate.observe_store_response(now);
+        simulation.vms[place].mandate.observe_era(era, now);
+        if simulation.vms[place].mandate.apply_read(read, now) {
+            simulation.vms[place].keeper = None;
         }
     }
-    let Some(write) = world.vms[place].mandate.due_write(now) else { return };
-    let answer = world.call_write_mandate(place, write.expected, &write.record);
+    let Some(write) = simulation.vms[place].mandate.due_write(now) else { return };
+    let answer = simulation.call_write_mandate(place, write.expected, &write.record);
     let revision = answer.unwrap_or(None);
-    let taken = world.vms[place].mandate.apply_write(&write, revision, now, now);
+    let taken = simulation.vms[place].mandate.apply_write(&write, revision, now, now);
     if taken {
         if std::env::var_os("TRACE").is_some() {
-            let predecessors = world.vms[place].mandate.predecessors();
-            eprintln!("{} vm {place} takes the mandate after {predecessors:?}", world.now);
+            let predecessors = simulation.vms[place].mandate.predecessors();
+            eprintln!("{} vm {place} takes the mandate after {predecessors:?}", simulation.now);
         }
-        world.vms[place].keeper = None;
+        simulation.vms[place].keeper = None;
     }
-    if revision.is_none() && world.call_store(place).is_ok() {
-        let (read, era) = (world.store.mandate.clone(), world.store.era);
-        world.vms[place].mandate.observe_era(era, now);
-        if world.vms[place].mandate.apply_read(read, now) {
-            world.vms[place].keeper = None;
+    if revision.is_none() && simulation.call_store(place).is_ok() {
+        let (read, era) = (simulation.store.mandate.clone(), simulation.store.era);
+        simulation.vms[place].mandate.observe_era(era, now);
+        if simulation.vms[place].mandate.apply_read(read, now) {
+            simulation.vms[place].keeper = None;
         }
     }
 }
 
 /// Loads, feeds and writes the keeper of a VM that may do everything.
-fn keep_map(world: &mut World, place: usize, now: Timestamp) {
-    if world.vms[place].keeper.is_none() {
-        if world.call_store(place).is_err() {
+fn keep_map(simulation: &mut Simulation, place: usize, now: Timestamp) {
+    if simulation.vms[place].keeper.is_none() {
+        if simulation.call_store(place).is_err() {
             return;
         }
-        let stored = world.store.map.clone();
-        let era = world.store.era;
-        let writer = world.rng.u64(1..);
-        let vm = &mut world.vms[place];
+        let stored = simulation.store.map.clone();
+        let era = simulation.store.era;
+        let writer = simulation.rng.u64(1..);
+        let vm = &mut simulation.vms[place];
         vm.map_revision = stored.as_ref().map(|stored| stored.revision);
         let map = InheritedMap::newest(stored, vm.told.clone(), era);
         vm.read_back_at = None;
@@ -198,74 +198,74 @@
         vm.keeper = Some(keeper);
     }
     let (era, rival_until) =
-        (world.vms[place].mandate.era(), world.vms[place].mandate.rival_until());
-    if let Some(keeper) = &mut world.vms[place].keeper {
+        (simulation.vms[place].mandate.era(), simulation.vms[place].mandate.rival_until());
+    if let Some(keeper) = &mut simulation.vms[place].keeper {
         keeper.enter_era(era, rival_until);
     }
-    let candidates = world.listed();
-    let proposal = random_move(world, &candidates);
-    let pick = candidates.get(world.rng.usize(..candidates.len().max(1))).cloned();
-    let vm = &mut world.vms[place];
+    let candidates = simulation.listed();
+    let proposal = random_move(simulation, &candidates);
+    let pick = candidates.get(simulation.rng.usize(..candidates.len().max(1))).cloned();
+    let vm = &mut simulation.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
     keeper.set_candidates(SERVICE, &candidates, |_, _, _| pick.clone().map(|one| one.target));
     if let Some(proposal) = proposal {
         keeper.start_moves(SERVICE, &[proposal]);
         keeper.merge();
     }
-    write_map(world, place);
+    write_map(simulation, place);
 }
 
 fn random_move(
-    world: &mut World,
+    simulation: &mut Simulation,
     candidates: &[nickellead_range::OwnerCandidate],
 ) -> Option<MoveProposal> {
-    if !world.moves || candidates.is_empty() || world.rng.u8(..40) > 0 {
+    if !simulation.moves || candidates.is_empty() || simulation.rng.u8(..40) > 0 {
         return None;
     }
-    let first = world.rng.u32(..BLOCKS as u32);
-    let last = world.rng.u32(first..BLOCKS as u32);
-    let to = candidates[world.rng.usize(..candidates.len())].target.clone();
+    let first = simulation.rng.u32(..BLOCKS as u32);
+    let last = simulation.rng.u32(first..BLOCKS as u32);
+    let to = candidates[simulation.rng.usize(..candidates.len())].target.clone();
     let (first, last) = (first * BLOCK_KEYS, (last + 1) * BLOCK_KEYS - 1);
     Some(MoveProposal { first: first as u16, last: last as u16, to })
 }
 
-fn write_map(world: &mut World, place: usize) {
-    if let Some(at) = world.vms[place].read_back_at {
-        if world.now >= at && world.call_store(place).is_ok() {
-            world.vms[place].read_back_at = None;
-            read_map_back(world, place);
+fn write_map(simulation: &mut Simulation, place: usize) {
+    if let Some(at) = simulation.vms[place].read_back_at {
+        if simulation.now >= at && simulation.call_store(place).is_ok() {
+            simulation.vms[place].read_back_at = None;
+            read_map_back(simulation, place);
         }
         return;
     }
-    let vm = &mut world.vms[place];
+    let vm = &mut simulation.vms[place];
     let Some((map, edit)) = vm.keeper.as_mut().and_then(RangeController::take_write) else {
         return;
     };
     let expected = vm.map_revision;
-    match world.call_write_map(place, expected, &map) {
+    match simulation.call_write_map(place, expected, &map) {
         Ok(Some(revision)) => {
-            let vm = &mut world.vms[place];
+            let vm = &mut simulation.vms[place];
             vm.map_revision = Some(revision);
             if let Some(keeper) = &mut vm.keeper {
                 keeper.confirm_write(edit);
             }
-            world.tell_map(place, &Stored { revision, value: map });
+            simulation.tell_map(place, &Stored { revision, value: map });
         }
-        Ok(None) | Err(()) => world.vms[place].read_back_at = Some(world.now + 150),
+        Ok(None) | Err(()) => simulation.vms[place].read_back_at = Some(simulation.now + 150),
     }
 }
 
 /// After a write that failed: what does the store hold?
-fn read_map_back(world: &mut World, place: usize) {
-    let (found, era) = (world.store.map.clone(), world.store.era);
-    let vm = &mut world.vms[place];
+fn read_map_back(simulation: &mut Simulation, place: usize) {
+    let (found, era) = (simulation.store.map.clone(), simulation.store.era);
+    let vm = &mut simulation.vms[place];
     let Some(keeper) = &mut vm.keeper else { return };
     match classify_write(found.as_ref(), era, keeper.map().writer, vm.map_revision) {
         WriteOutcome::Written { revision, edit } => {
             vm.map_revision = Some(revision);
             keeper.confirm_write(edit);
             if let Some(found) = found {
-                world.tell_map(place, &found);
+                simulation.tell_map(place, &found);
             }
         }
         WriteOutcome::Superseded => vm.keeper = None,
