--- a/crates/nickellead_gateway/src/cluster_state/mod.rs
+++ b/crates/nickellead_gateway/src/cluster_state/mod.rs
@@ -351,7 +351,7 @@
         self.raise_revision(|known| &mut known.ranges, as_of);
         let Some(new) = new else { return };
         // A map from a restored copy does not follow the maps that the store has lost.
-        let new = Stored { revision: new.order(), ..new };
+        let new = Stored { revision: new.effective_revision(), ..new };
         if self.ranges.borrow_mut().apply_whole(new) {
             self.publish_ranges();
         }
--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -36,13 +36,13 @@
             ("revision", &revision),
             ("edit", &edit),
             ("fence", &map.fence),
-            ("late_orders", &map.late),
+            ("late_orders", &map.late_orders),
         ];
         log_event(EventName::RangesWritten, &pairs);
         if let Some(controller) = self.controller.borrow_mut().as_mut()
             && controller.map().writer == map.writer
         {
-            controller.note_written(edit);
+            controller.confirm_write(edit);
         }
         self.cluster.apply_ranges(revision, Some(Stored { revision, value: map }));
     }
@@ -61,7 +61,7 @@
             return self.record_write_failed();
         };
         match classify_write(found.as_ref(), as_of.era, writer, self.map_revision.get()) {
-            WriteOutcome::Done { revision, edit } => {
+            WriteOutcome::Written { revision, edit } => {
                 if let Some(found) = found {
                     self.record_map_written(revision, found.value, edit);
                 }
@@ -70,7 +70,7 @@
                 log_event(EventName::CoordinatorSuperseded, &[("reason", error)]);
                 self.controller.replace(None);
             }
-            WriteOutcome::Undone(expected) => {
+            WriteOutcome::NotWritten(expected) => {
                 self.map_revision.set(expected);
                 self.record_write_failed();
             }
@@ -80,7 +80,7 @@
     /// Lets the keeper write again.
     fn record_write_failed(&self) {
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            controller.note_write_failed();
+            controller.abort_write();
         }
     }
 
--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -34,18 +34,18 @@
             actix_rt::spawn(async move {
                 let reply = control.send_order(&order).await;
                 if reply.leaving {
-                    control.record_leaving(&order.holder, "order");
+                    control.record_leaving(&order.target, "order");
                 }
                 let outcome = reply.outcome;
                 let now = BootClock.now();
                 let late_until = controller_settings(&control.ownership).late_lease_bound(now);
-                control.late_orders.borrow_mut().note(&order, &outcome, now, late_until);
+                control.late_orders.borrow_mut().observe_outcome(&order, &outcome, now, late_until);
                 if control.controller_writer() != writer {
                     // The keeper made meanwhile reckons with every order sent before it.
                     return;
                 }
                 if let Some(controller) = control.controller.borrow_mut().as_mut() {
-                    controller.note_outcome(&order, outcome, now);
+                    controller.apply_outcome(&order, outcome, now);
                 }
             });
         }
@@ -54,8 +54,8 @@
     /// Sends one order, if the mandate still allows it at this moment.
     async fn send_order(&self, order: &RangeOrder) -> OrderReply {
         let now = BootClock.now();
-        let authority = self.mandate.borrow().power(now);
-        let is_stale = now.since(order.decided) > MAX_ORDER_AGE;
+        let authority = self.mandate.borrow().authority(now);
+        let is_stale = now.since(order.decided_at) > MAX_ORDER_AGE;
         if authority == MandateAuthority::None || is_stale {
             return OrderOutcome::NotSent.into();
         }
@@ -93,7 +93,7 @@
     let pairs: [(&str, &dyn std::fmt::Display); 6] = [
         ("order", &order.kind.as_str()),
         ("outcome", &outcome.as_str()),
-        ("target", &order.holder.id),
+        ("target", &order.target.id),
         ("first", &order.first),
         ("last", &order.last),
         ("fence", &order.fence),
--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -47,7 +47,7 @@
     async fn update_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
         self.apply_received_mandate(now);
         self.observe_era(now);
-        let authority = self.mandate.borrow().power(now);
+        let authority = self.mandate.borrow().authority(now);
         self.metrics.mandate.set(i64::from(authority != MandateAuthority::None));
         if authority == MandateAuthority::None {
             // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
@@ -88,14 +88,14 @@
     fn apply_received_mandate(&self, now: Timestamp) {
         if !self.mandate.borrow().is_held() {
             let mandate = self.cluster.mandate();
-            self.mandate.borrow_mut().note_read(mandate, now);
+            self.mandate.borrow_mut().apply_read(mandate, now);
         }
     }
 
     /// Takes in which era of the store is the newest that this VM heard of.
     fn observe_era(&self, now: Timestamp) {
         let era = self.store.era();
-        self.mandate.borrow_mut().note_era(era, now);
+        self.mandate.borrow_mut().observe_era(era, now);
         self.metrics.set_era(era, self.store.invalid_eras());
         if era > self.era.replace(era) {
             // Watches of the era before hear nothing of this one.
@@ -137,7 +137,7 @@
         let writer = random_id();
         let late_orders = &mut self.late_orders.borrow_mut();
         let controller =
-            RangeController::take_over(settings, predecessors, inherited, writer, late_orders, now);
+            RangeController::inherit(settings, predecessors, inherited, writer, late_orders, now);
         self.controller.replace(Some(controller));
         log_event(EventName::CoordinatorLeading, &[("vm", &self.vm)]);
         true
@@ -147,11 +147,11 @@
 /// The keeper's times on the users' platform.
 pub(super) fn controller_settings(ownership: &OwnershipSettings) -> ControllerSettings {
     ControllerSettings {
-        hold: ownership.lease(),
-        renewal: ownership.renewal_interval(),
-        retry: ORDER_RETRY_INTERVAL,
+        lease: ownership.lease(),
+        renewal_interval: ownership.renewal_interval(),
+        retry_interval: ORDER_RETRY_INTERVAL,
         margin: LEASE_MARGIN,
-        lateness: MAX_ORDER_LATENESS,
+        max_lateness: MAX_ORDER_LATENESS,
         drift: MAX_TARGET_CLOCK_DRIFT,
     }
 }
--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -1,7 +1,7 @@
 //! How long the keys of a lost target wait.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -10,17 +10,20 @@
     InheritedMap, LastOrder, LateOrderDetector, OrderOutcome, OwnerCandidate, PredecessorBounds,
     RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
-use world::{SERVICE, holder, settings};
+use simulation::{SERVICE, holder, settings};
 
 /// Between two looks of these tests.
 const LOOK: Duration = Duration::from_millis(100);
 
 /// A map that nobody kept before.
-const NO_PREDECESSORS: PredecessorBounds =
-    PredecessorBounds { last: LastOrder::NOW, earlier: LastOrder::NOW, lateness_unknown: false };
+const NO_PREDECESSORS: PredecessorBounds = PredecessorBounds {
+    last_holder: LastOrder::NOW,
+    earlier_holders: LastOrder::NOW,
+    late_orders_unknown: false,
+};
 
 fn candidate(place: usize) -> OwnerCandidate {
-    OwnerCandidate { holder: holder(place, 1), capacity: 1.0, most: None }
+    OwnerCandidate { target: holder(place, 1), capacity: 1.0, max_load: None }
 }
 
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
@@ -34,7 +37,7 @@
 impl LostTarget {
     fn new(lost: Timestamp, unlisted: Timestamp) -> Self {
         let mut lateness = LateOrderDetector::default();
-        let keeper = RangeController::take_over(
+        let keeper = RangeController::inherit(
             settings(),
             NO_PREDECESSORS,
             InheritedMap::default(),
@@ -55,10 +58,10 @@
     fn decide(&mut self, now: Timestamp) -> Vec<RangeOrder> {
         let listed: Vec<OwnerCandidate> =
             (0..2).filter(|place| *place == 0 || now < self.unlisted).map(candidate).collect();
-        let first = listed[0].holder.clone();
+        let first = listed[0].target.clone();
         self.keeper.set_candidates(SERVICE, &listed, |_, _, _| Some(first.clone()));
         if let Some((_, edit)) = self.keeper.take_write() {
-            self.keeper.note_written(edit);
+            self.keeper.confirm_write(edit);
         }
         self.keeper.due_orders(now, false, &self.lateness)
     }
@@ -69,13 +72,13 @@
         let judged: Vec<_> =
             orders.into_iter().map(|order| (order.clone(), self.outcome(&order, now))).collect();
         for (order, outcome) in &judged {
-            self.keeper.note_outcome(order, outcome.clone(), now);
+            self.keeper.apply_outcome(order, outcome.clone(), now);
         }
         judged
     }
 
     fn outcome(&self, order: &RangeOrder, now: Timestamp) -> OrderOutcome {
-        match order.holder == lost_holder() && now >= self.lost {
+        match order.target == lost_holder() && now >= self.lost {
             true => OrderOutcome::NotSent,
             false => OrderOutcome::Done(None),
         }
@@ -90,24 +93,25 @@
 #[test]
 fn grants_that_were_never_sent_do_not_prolong_a_hold() {
     let (lost, unlisted) = (Timestamp(10_000), Timestamp(13_500));
-    let mut world = LostTarget::new(lost, unlisted);
+    let mut simulation = LostTarget::new(lost, unlisted);
     let mut last_renewal = Timestamp::ZERO;
     let mut now = Timestamp::ZERO;
     let freed = loop {
         now = now + LOOK;
-        for (order, outcome) in world.step(now) {
-            if order.holder == lost_holder() && outcome == OrderOutcome::Done(None) {
+        for (order, outcome) in simulation.step(now) {
+            if order.target == lost_holder() && outcome == OrderOutcome::Done(None) {
                 last_renewal = now;
             }
         }
-        let ranges = &world.keeper.map().services[SERVICE];
+        let ranges = &simulation.keeper.map().services[SERVICE];
         if now > unlisted && ranges.iter().all(|range| range.settled) {
             break now;
         }
         assert!(now < Timestamp(30_000), "the keys never got an owner");
     };
     assert!(last_renewal < lost);
-    let bound = settings().late_lease_bound(last_renewal).since(last_renewal) - settings().lateness;
+    let bound =
+        settings().late_lease_bound(last_renewal).since(last_renewal) - settings().max_lateness;
     let waited = freed.since(last_renewal);
     assert!(waited >= bound, "a hold must lapse: {waited:?}");
     assert!(waited <= bound + LOOK * 4, "{waited:?} after the last grant that was sent");
@@ -122,29 +126,29 @@
     let before = LostTarget::new(Timestamp(60_000), Timestamp(60_000)).settled_map();
     let taken = Timestamp(20_000);
     let last = LastOrder::After(RENEWAL_GRACE);
-    let predecessors = PredecessorBounds { last, ..NO_PREDECESSORS };
-    let mut world = LostTarget::new(taken, taken + LOOK * 3);
-    world.keeper = RangeController::take_over(
+    let predecessors = PredecessorBounds { last_holder: last, ..NO_PREDECESSORS };
+    let mut simulation = LostTarget::new(taken, taken + LOOK * 3);
+    simulation.keeper = RangeController::inherit(
         settings(),
         predecessors,
         InheritedMap { map: before, ..InheritedMap::default() },
         2,
-        &mut world.lateness,
+        &mut simulation.lateness,
         taken,
     );
-    let under_way = world.decide(taken);
-    assert!(under_way.iter().any(|order| order.holder == lost_holder()));
-    world.keeper.resume();
+    let under_way = simulation.decide(taken);
+    assert!(under_way.iter().any(|order| order.target == lost_holder()));
+    simulation.keeper.resume();
     let mut now = taken + LOOK * 2;
     for order in under_way {
-        world.keeper.note_outcome(&order, world.outcome(&order, now), now);
+        simulation.keeper.apply_outcome(&order, simulation.outcome(&order, now), now);
     }
-    while world.keeper.map().services[SERVICE]
+    while simulation.keeper.map().services[SERVICE]
         .iter()
         .any(|range| !range.settled || range.owner == Some(lost_holder()))
     {
         now = now + LOOK;
-        world.step(now);
+        simulation.step(now);
         assert!(now < Timestamp(60_000), "the keys never got an owner");
     }
     let bound = settings().late_lease_bound(taken + RENEWAL_GRACE);
--- a/crates/nickellead_range/tests/map_changes.rs
+++ b/crates/nickellead_range/tests/map_changes.rs
@@ -55,7 +55,7 @@
         let Self(kind, service, key) = *self;
         map.edit += 1;
         map.fence += 1;
-        map.late = key % 2 == 1;
+        map.late_orders = key % 2 == 1;
         let ranges = map.services.entry(SERVICES[service].to_owned()).or_default();
         if kind == EditKind::Divide || ranges.is_empty() {
             *ranges = vec![record(0, u16::MAX, map.fence, 0)];
@@ -134,7 +134,7 @@
         let to = edited(from.clone(), std::slice::from_ref(&then));
         let change = MapChange::between(&from, &to).unwrap();
         let refused = |base: &RangeMap| {
-            matches!(change.apply(base), Err(MapChangeError::OtherBase { .. }))
+            matches!(change.apply(base), Err(MapChangeError::BaseMismatch { .. }))
         };
         let foreign = RangeMap { writer: 8, ..from };
         refused(&to) && refused(&foreign)
@@ -181,5 +181,5 @@
             .unwrap();
     let mut other = from;
     other.services.remove("beta");
-    assert_eq!(change.apply(&other), Err(MapChangeError::ServiceMissing("beta".to_owned())));
+    assert_eq!(change.apply(&other), Err(MapChangeError::MissingService("beta".to_owned())));
 }
