--- a/crates/nickellead_limit/src/lib.rs
+++ b/crates/nickellead_limit/src/lib.rs
@@ -1,13 +1,13 @@
-//! How many requests may be under way at a target, and who goes first when none may.
+//! Limits on the requests sent to a target, and the queue of requests that wait for capacity.
 //!
-//! A target is shared by VMs that do not ask each other. Each keeps an
-//! [`AdaptiveLimit`]: refusals and slow answers shrink it, answers let it grow. Requests
-//! that find no target with room wait in a [`WaitQueue`], the most urgent first.
-//! [`OwnerAdmission`] is what all VMs together may send to an owner of keys, for fleets on which no
-//! VM sees enough of it.
-//! [`ColdLimiter`] bounds what all VMs together send a target that has just started.
-//! [`RateLimiter`] lets through one VM's part of a rate that a target names for all VMs.
-//! [`WaitTolerance`] tells how long a caller has been trying before.
+//! VMs share targets without coordinating every request. Each VM keeps an [`AdaptiveLimit`] on the
+//! requests in flight at a target: refusals and slow responses lower it, fast responses raise it.
+//! Requests that find no target with capacity wait in a [`WaitQueue`], ordered by priority.
+//!
+//! Three limiters bound what all VMs together send to one target. [`OwnerAdmission`] computes the
+//! rate that an overloaded owner of keys can serve, [`ColdLimiter`] bounds requests to a target that
+//! has just started, and [`RateLimiter`] enforces one VM's share of a rate that the target requests.
+//! [`WaitTolerance`] estimates how long a caller has been retrying.
 
 mod adaptive;
 mod admission;
