--- a/crates/nickellead_limit/src/wait_tolerance.rs
+++ b/crates/nickellead_limit/src/wait_tolerance.rs
@@ -1,33 +1,34 @@
-//! How long a caller has been trying already, told from how long it still waits.
+//! Estimates how long a caller has been retrying from its remaining deadline.
 //!
-//! A caller that comes back has less time left than one that comes for the first
-//! time. An answer is worth what its time since the *first* try makes it, so a
-//! request that is late already must not take the place of one that is not.
+//! A retrying caller has less time left than a caller on its first attempt. The value of a response
+//! depends on the time since the *first* attempt, so a request that is already late must not
+//! displace one that is not.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Part of the difference by which the longest wait follows shorter ones: after a few hundred
-/// requests the word of one caller that waits longer than all others is forgotten.
-const FOLLOW_PART: f64 = 0.01;
+/// Fraction of the difference by which the longest known wait decays towards a shorter one.
+///
+/// The effect of a single caller with an unusually long deadline fades within a few hundred requests.
+const DECAY_FRACTION: f64 = 0.01;
 
-/// The longest time that callers of one route wait, as their requests say.
+/// Longest time that callers of one route wait, learned from the deadlines of their requests.
 ///
-/// Callers that wait for unlike times look older than they are by the difference; it only decides who
-/// is refused first where there is no room.
+/// If callers of one route use different deadlines, the estimated age is too high by the difference.
+/// The estimate only decides which requests are refused first when there is no capacity.
 #[derive(Debug, Default)]
 pub struct WaitTolerance {
     longest: Cell<Duration>,
 }
 
 impl WaitTolerance {
-    /// Takes in how long a caller still waits; gives how long it has been trying, as far as that
-    /// shows.
-    pub fn observe_remaining(&self, left: Duration) -> Duration {
+    /// Records a caller's remaining time and returns the estimated time since its first attempt.
+    pub fn observe_remaining(&self, remaining: Duration) -> Duration {
         let longest = self.longest.get();
-        let age = longest.saturating_sub(left);
-        let known = if left > longest { left } else { longest - age.mul_f64(FOLLOW_PART) };
-        self.longest.set(known);
+        let age = longest.saturating_sub(remaining);
+        let updated =
+            if remaining > longest { remaining } else { longest - age.mul_f64(DECAY_FRACTION) };
+        self.longest.set(updated);
         age
     }
 }
