--- a/crates/nickellead_limit/src/queue.rs
+++ b/crates/nickellead_limit/src/queue.rs
@@ -1,80 +1,81 @@
-//! Requests that wait for a target with room.
+//! Queue of requests that wait for a target with capacity.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 use tokio::sync::oneshot;
 
-/// Waiting requests, by rank and then by age.
+/// Waiting requests, ordered by rank and then by arrival.
 ///
-/// A waiter that is woken looks again and may find that somebody else was
-/// faster; it then joins anew. A waiter that gave up is passed over.
+/// Waking a request reserves no capacity: if another request takes it first, the woken request must
+/// join the queue again. Requests that have stopped waiting are skipped.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
-    waiting: RefCell<Waiting>,
+    state: RefCell<QueueState>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    next: u64,
-    turns: BTreeMap<(u8, u64), oneshot::Sender<()>>,
+struct QueueState {
+    next_sequence: u64,
+    /// Wakers by rank and sequence number.
+    wakers: BTreeMap<(u8, u64), oneshot::Sender<()>>,
 }
 
-/// A place in the queue; given up when dropped.
+/// Position of one request in the queue. A request whose ticket is dropped is skipped.
 #[derive(Debug)]
 pub struct QueueTicket {
-    place: (u8, u64),
+    position: (u8, u64),
     woken: oneshot::Receiver<()>,
 }
 
 impl QueueTicket {
-    /// Waits until it is this request's turn.
+    /// Waits until the queue wakes this request.
     pub async fn wait(&mut self) {
-        // A queue that is gone wakes its waiters as well.
+        // A dropped queue also wakes its waiters.
         let _ = (&mut self.woken).await;
     }
 }
 
 impl WaitQueue {
-    /// Joins the queue; rank 0 goes first.
+    /// Joins the queue. Lower ranks are woken first.
     #[must_use]
     pub fn join(&self, rank: u8) -> QueueTicket {
-        let mut waiting = self.waiting.borrow_mut();
-        let place = (rank, waiting.next);
-        waiting.next += 1;
+        let mut state = self.state.borrow_mut();
+        let position = (rank, state.next_sequence);
+        state.next_sequence += 1;
         let (sender, woken) = oneshot::channel();
-        waiting.turns.insert(place, sender);
-        QueueTicket { place, woken }
+        state.wakers.insert(position, sender);
+        QueueTicket { position, woken }
     }
 
-    /// How many requests wait.
+    /// Number of requests that still wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        let waiting = self.waiting.borrow();
-        waiting.turns.values().filter(|sender| !sender.is_closed()).count()
+        let state = self.state.borrow();
+        state.wakers.values().filter(|sender| !sender.is_closed()).count()
     }
 
-    /// Gives a place up; a turn that came meanwhile goes to the next one.
-    pub fn leave(&self, turn: &QueueTicket) {
-        let waited = self.waiting.borrow_mut().turns.remove(&turn.place).is_some();
-        if !waited {
+    /// Leaves the queue. If the ticket was already woken, the wake-up passes to the next request.
+    pub fn leave(&self, ticket: &QueueTicket) {
+        let was_waiting = self.state.borrow_mut().wakers.remove(&ticket.position).is_some();
+        if !was_waiting {
             self.wake_one();
         }
     }
 
-    /// Wakes all that wait, the most urgent ones first: what they wait for may never come.
+    /// Wakes all waiting requests, lowest rank first, because the expected capacity may never come.
     pub fn wake_all(&self) {
-        let turns = std::mem::take(&mut self.waiting.borrow_mut().turns);
-        for sender in turns.into_values() {
-            // One that gave up needs no turn.
+        let wakers = std::mem::take(&mut self.state.borrow_mut().wakers);
+        for sender in wakers.into_values() {
+            // The receiver may have stopped waiting.
             let _ = sender.send(());
         }
     }
 
-    /// Wakes the most urgent request that still waits.
+    /// Wakes the waiting request of the lowest rank, the earliest of them first.
     pub fn wake_one(&self) {
-        let mut waiting = self.waiting.borrow_mut();
-        while let Some((_, sender)) = waiting.turns.pop_first() {
+        let mut state = self.state.borrow_mut();
+        while let Some((_, sender)) = state.wakers.pop_first() {
             if sender.send(()).is_ok() {
                 return;
             }
