--- a/crates/nickellead_limit/src/adaptive.rs
+++ b/crates/nickellead_limit/src/adaptive.rs
@@ -1,114 +1,127 @@
-//! One VM's share of a target, found by how long its answers take.
+//! Limit on one VM's requests in flight at a target, adapted to the target's response latency.
 
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
 
-/// Least limit: one request may always be tried.
-const LEAST: f64 = 1.0;
-/// What is left of the limit after a refusal.
-const REFUSAL_SHRINK: f64 = 0.7;
-/// What is left of the limit when answers get too slow.
-const SLOW_SHRINK: f64 = 0.8;
-/// Growth for a whole limit's worth of answers.
-const GROWTH: f64 = 0.35;
-/// Growth for one answer before the target was first seen full: the limit doubles in one answer's time.
-const START_GROWTH: f64 = 0.5;
-/// Weight of a new answer in the moving average of answer times: about the last five count.
-const TIME_WEIGHT: f64 = 0.2;
-/// Answers may take this part of the latency target on average.
+/// Lower bound of the limit: one request may always be sent.
+const MIN_LIMIT: f64 = 1.0;
+/// Factor applied to the limit after a refusal.
+const REFUSAL_DECAY: f64 = 0.7;
+/// Factor applied to the limit when the average latency exceeds its bound.
+const SLOW_DECAY: f64 = 0.8;
+/// Increase of the limit per full window of responses.
+const GROWTH_PER_WINDOW: f64 = 0.35;
+/// Increase of the limit per response until the target is first found full.
+const START_GROWTH_PER_RESPONSE: f64 = 0.5;
+/// Weight of a new response in the moving average of latencies.
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Fraction of the latency target that the average latency may reach.
 ///
-/// The rest is for the ways, for a wait on the VM, and for answers slower than the average, which
-/// take up to twice as long.
-const TIME_PART: f64 = 0.6;
-/// Answers may take this many times as long as unhurried ones, whatever the latency target: a slow
-/// target is not a full one.
+/// The remainder covers network transit, queueing on the VM, and responses slower than the average.
+const MAX_LATENCY_FRACTION: f64 = 0.6;
+/// Average latency relative to the baseline that is accepted whatever the latency target is, so that
+/// a target that is slow without queueing does not count as full.
 pub(crate) const MAX_LATENCY_PER_BASELINE: f64 = 2.2;
 
-/// A limit on requests under way that follows what the target takes.
+/// An adaptive limit on the number of requests in flight at one target.
 ///
-/// A full target may say nothing at all: it queues requests until they are late, or swallows them.
-/// So the limit shrinks as soon as answers take a good part of the latency target, and not only
-/// when requests are lost.
+/// An overloaded target may refuse nothing: it can queue requests until they are late, or never
+/// respond. The limit therefore also decreases when the average latency comes close to the latency
+/// target, before requests are lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdaptiveLimit {
     limit: f64,
-    most: f64,
-    /// Average answer time as a part of the latency target; 0 before the first answer.
-    time: f64,
-    /// Whether the target was seen full.
-    met: bool,
-    /// The limit shrinks for slow answers no more before this: those under way were sent before.
-    settled: Timestamp,
+    max: f64,
+    /// Average latency as a fraction of the latency target; 0 before the first response.
+    latency_fraction: f64,
+    /// Whether the target was ever found full.
+    was_full: bool,
+    /// Slow responses before this time do not decrease the limit again: their requests were sent
+    /// before the last decrease.
+    no_decrease_until: Timestamp,
 }
 
 impl AdaptiveLimit {
-    /// Starts at `start` requests and never allows more than `most`.
+    /// Creates a limit that starts at `start` requests and never exceeds `max`.
     #[must_use]
-    pub fn new(start: u32, most: u32) -> Self {
-        let most = f64::from(most.max(1));
-        let limit = f64::from(start.max(1)).min(most);
-        Self { limit, most, time: 0.0, met: false, settled: Timestamp::ZERO }
+    pub fn new(start: u32, max: u32) -> Self {
+        let max = f64::from(max.max(1));
+        let limit = f64::from(start.max(1)).min(max);
+        Self {
+            limit,
+            max,
+            latency_fraction: 0.0,
+            was_full: false,
+            no_decrease_until: Timestamp::ZERO,
+        }
     }
 
-    /// How long a request waits for its turn behind `waiting` others, if answers take `length`.
+    /// Expected wait behind `waiting` other requests if each response takes `latency`.
     #[must_use]
-    pub fn expected_wait(&self, waiting: usize, length: Duration) -> Duration {
-        length.mul_f64((waiting as f64 + 1.0) / self.limit)
+    pub fn expected_wait(&self, waiting: usize, latency: Duration) -> Duration {
+        latency.mul_f64((waiting as f64 + 1.0) / self.limit)
     }
 
-    /// Average time of an answer, for requests with this latency target.
+    /// Average latency of requests with this latency target.
     #[must_use]
-    pub fn mean_latency(&self, goal: Duration) -> Duration {
-        goal.mul_f64(self.time)
+    pub fn mean_latency(&self, latency_target: Duration) -> Duration {
+        latency_target.mul_f64(self.latency_fraction)
     }
 
-    /// Whether one more request may be sent while `running` are under way.
+    /// Whether one more request may be sent while `in_flight` are in flight.
     #[must_use]
-    pub fn has_capacity(&self, running: u32) -> bool {
-        f64::from(running) + 1.0 <= self.limit + 1e-9
+    pub fn has_capacity(&self, in_flight: u32) -> bool {
+        f64::from(in_flight) + 1.0 <= self.limit + 1e-9
     }
 
-    /// The target answered after `length` while `running` requests, this one included, were under
-    /// way; `unhurried` is what its answers take when it has room, `goal` the latency target.
+    /// Records a response.
+    ///
+    /// `in_flight` includes the request that was answered. `baseline` is the latency of the target
+    /// without queueing.
     pub fn record_response(
         &mut self,
-        running: u32,
-        length: Duration,
-        unhurried: Duration,
-        goal: Duration,
+        in_flight: u32,
+        latency: Duration,
+        baseline: Duration,
+        latency_target: Duration,
         now: Timestamp,
     ) {
-        let goal = goal.as_secs_f64().max(f64::EPSILON);
-        let part = length.as_secs_f64() / goal;
-        let most = TIME_PART.max(MAX_LATENCY_PER_BASELINE * unhurried.as_secs_f64() / goal);
-        let weight = if self.time == 0.0 { 1.0 } else { TIME_WEIGHT };
-        self.time += (part - self.time) * weight;
-        if self.time > most {
-            self.record_slow(length, now);
-        } else if !self.has_capacity(running) {
-            let growth = if self.met { GROWTH / self.limit } else { START_GROWTH };
-            self.limit = (self.limit + growth).min(self.most);
+        let target_s = latency_target.as_secs_f64().max(f64::EPSILON);
+        let fraction = latency.as_secs_f64() / target_s;
+        let max_fraction =
+            MAX_LATENCY_FRACTION.max(MAX_LATENCY_PER_BASELINE * baseline.as_secs_f64() / target_s);
+        let weight = if self.latency_fraction == 0.0 { 1.0 } else { LATENCY_WEIGHT };
+        self.latency_fraction += (fraction - self.latency_fraction) * weight;
+        if self.latency_fraction > max_fraction {
+            self.record_slow(latency, now);
+        } else if !self.has_capacity(in_flight) {
+            let growth = if self.was_full {
+                GROWTH_PER_WINDOW / self.limit
+            } else {
+                START_GROWTH_PER_RESPONSE
+            };
+            self.limit = (self.limit + growth).min(self.max);
         }
     }
 
-    /// A request has been under way for a whole latency target, and no answer has come.
-    pub fn record_overdue(&mut self, goal: Duration, now: Timestamp) {
-        self.time = self.time.max(1.0);
-        self.record_slow(goal, now);
+    /// Records that a request got no response within the latency target.
+    pub fn record_overdue(&mut self, latency_target: Duration, now: Timestamp) {
+        self.latency_fraction = self.latency_fraction.max(1.0);
+        self.record_slow(latency_target, now);
     }
 
-    fn record_slow(&mut self, length: Duration, now: Timestamp) {
-        self.met = true;
-        if now >= self.settled {
-            self.limit = (self.limit * SLOW_SHRINK).max(LEAST);
-            self.settled = now + length;
+    fn record_slow(&mut self, latency: Duration, now: Timestamp) {
+        self.was_full = true;
+        if now >= self.no_decrease_until {
+            self.limit = (self.limit * SLOW_DECAY).max(MIN_LIMIT);
+            self.no_decrease_until = now + latency;
         }
     }
 
-    /// The target refused a request, or reset its connection.
+    /// Records that the target refused a request or reset its connection.
     pub fn record_refusal(&mut self) {
-        self.met = true;
-        self.limit = (self.limit * REFUSAL_SHRINK).max(LEAST);
+        self.was_full = true;
+        self.limit = (self.limit * REFUSAL_DECAY).max(MIN_LIMIT);
     }
 }
