--- a/crates/nickellead_limit/src/cold.rs
+++ b/crates/nickellead_limit/src/cold.rs
@@ -1,79 +1,80 @@
-//! What one VM may send a target that is cold: its share of what the target bears from all VMs.
+//! Limits the requests that VMs send to a cold target.
 //!
-//! A cold target falls over for a few times what it bears, and what it would have served then falls on
-//! others. Hundreds of VMs each see a part of the requests, and some may be cut off from all others, so a
-//! bound on what all of them send can't rest on what any of them hears: it rests on who they are. For a
-//! target that any VM may leave out, a few VMs send and all others send nothing. An owner of keys is asked
-//! by every VM, each of which has an equal part of what it bears.
+//! A target that has just started ("cold") fails under a small multiple of the load that it can
+//! serve, and its requests then fall on other targets. The bound applies to all VMs together and
+//! must also hold between VMs that cannot reach each other, so each VM derives its quota from
+//! fleet membership alone. If other targets can serve the requests, a few VMs warm up the target
+//! and the others send nothing. Requests for the keys of an owner can come from every VM, so each
+//! VM gets an equal share of the bound.
 
 use std::cell::Cell;
 
 use nickellead_core::Timestamp;
 
-/// VMs that send to a cold target which others can stand in for.
+/// Number of VMs that send to a cold target whose requests other targets can serve.
 ///
-/// One of them may stop or be cut off, and the target is warmed all the same; each more has a request of
-/// its own to begin with, which is what a target that bears six a second bears in a sixth of one.
+/// With two, the target still warms up when one of them stops or is cut off. Each sender starts with
+/// a whole request, so more senders would use up a small bound at the start.
 pub const COLD_SENDERS: usize = 2;
-/// Part of what may reach a cold target in a second that VMs of one mind send it: while they learn of a
-/// VM that came or went, there are two minds about who sends.
-const AGREED_PART: f64 = 0.5;
+/// Fraction of [`ColdBounds::max_in_one_second`] available to VMs with the same view of the fleet.
+///
+/// While a membership change spreads, two views of the fleet coexist, and the senders of both add up.
+const SAME_VIEW_FRACTION: f64 = 0.5;
 
-/// What a target bears from all VMs together while it is cold.
+/// Load that a cold target can take from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBounds {
-    /// Requests a second, on average.
+    /// Average requests per second.
     pub rate: f64,
-    /// Most requests in any one second.
+    /// Maximum number of requests in any one second.
     pub max_in_one_second: f64,
 }
 
 impl ColdBounds {
-    /// Requests a second that VMs of one mind send.
-    fn agreed_rate(&self) -> f64 {
-        self.rate.min(self.max_in_one_second * AGREED_PART)
+    /// Requests per second that VMs with the same view of the fleet may send together.
+    fn same_view_rate(&self) -> f64 {
+        self.rate.min(self.max_in_one_second * SAME_VIEW_FRACTION)
     }
 }
 
-/// Whether a VM is one of the [`COLD_SENDERS`] of a target, by its rank there and the ranks of all others.
+/// Whether the VM with this rank is one of the [`COLD_SENDERS`] with the highest ranks for a target.
 pub fn is_cold_sender(rank: u64, others: impl Iterator<Item = u64>) -> bool {
     others.filter(|other| *other > rank).take(COLD_SENDERS).count() < COLD_SENDERS
 }
 
-/// What a VM may send a cold target.
+/// What one VM may send to a cold target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ColdQuota {
-    /// As much as a warm one.
+    /// No limit beyond that of a warm target.
     Unlimited,
-    /// Zero: other VMs warm it.
+    /// No requests: other VMs warm up the target.
     Zero,
-    /// One request at once and this many a second.
+    /// One request at the start, then this many requests per second.
     Sender(f64),
-    /// This many a second, and a part of a request to begin with: every VM may have requests for the keys
-    /// that the target owns.
+    /// This many requests per second, starting with a fraction of a request.
     EqualShare(f64),
 }
 
 impl ColdQuota {
-    /// The share of one of [`COLD_SENDERS`] VMs.
+    /// Quota of one of the [`COLD_SENDERS`].
     #[must_use]
-    pub fn for_sender(bound: ColdBounds) -> Self {
+    pub fn for_sender(bounds: ColdBounds) -> Self {
         let senders = COLD_SENDERS as f64;
-        // Each of them may begin with a whole request.
-        let rate = bound.rate.min(bound.max_in_one_second * AGREED_PART - senders).max(0.0);
-        Self::Sender(rate / senders)
+        // Each sender may start with a whole request.
+        let max_rate = bounds.max_in_one_second * SAME_VIEW_FRACTION - senders;
+        Self::Sender(bounds.rate.min(max_rate).max(0.0) / senders)
     }
 
-    /// The share of one of this many VMs that ask an owner for its keys.
+    /// Equal share of one of `vms` VMs that send requests for the keys of an owner.
     #[must_use]
-    pub fn equal_share(bound: ColdBounds, vms: usize) -> Self {
+    pub fn equal_share(bounds: ColdBounds, vms: usize) -> Self {
         match vms {
             0 => Self::Zero,
-            _ => Self::EqualShare(bound.agreed_rate() / vms as f64),
+            _ => Self::EqualShare(bounds.same_view_rate() / vms as f64),
         }
     }
 
-    /// Requests a second.
+    /// Requests per second.
     fn rate(self) -> f64 {
         match self {
             Self::Unlimited => f64::INFINITY,
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Requests to begin with.
-    fn first(self, phase: f64) -> f64 {
+    /// Tokens in a new bucket.
+    fn initial_tokens(self, phase: f64) -> f64 {
         match self {
             Self::Unlimited | Self::Sender(_) => 1.0,
             Self::Zero => 0.0,
@@ -92,75 +93,75 @@
     }
 }
 
-/// A bucket of requests for one target that refills while the target is cold.
+/// Token bucket that limits one VM's requests to a target while the target is cold.
 #[derive(Debug)]
 pub struct ColdLimiter {
     cold_until: Cell<Timestamp>,
     quota: Cell<ColdQuota>,
     phase: f64,
     tokens: Cell<f64>,
-    filled: Cell<Timestamp>,
+    refilled_at: Cell<Timestamp>,
 }
 
 impl ColdLimiter {
-    /// The gate of a target that is cold until then.
+    /// Creates the limiter of a target that is cold until `cold_until`.
     ///
-    /// `phase` from 0 to 1 differs from VM to VM, so that their parts of a request are not whole all at
-    /// the same time.
+    /// `phase`, from 0 to 1, must differ between VMs, so that their buckets do not all reach a whole
+    /// token at the same time.
     #[must_use]
-    pub fn new(until: Timestamp, phase: f64, now: Timestamp) -> Self {
+    pub fn new(cold_until: Timestamp, phase: f64, now: Timestamp) -> Self {
         Self {
-            cold_until: Cell::new(until),
+            cold_until: Cell::new(cold_until),
             quota: Cell::new(ColdQuota::Unlimited),
             phase,
             tokens: Cell::new(0.0),
-            filled: Cell::new(now),
+            refilled_at: Cell::new(now),
         }
     }
 
-    /// Until when the target is cold.
+    /// End of the cold phase.
     #[must_use]
     pub fn cold_until(&self) -> Timestamp {
         self.cold_until.get()
     }
 
-    /// Whether the target is cold.
+    /// Whether the cold phase has not ended.
     #[must_use]
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now < self.cold_until.get()
     }
 
-    /// Whether the target is cold, and what it is sent meanwhile is bounded.
+    /// Whether the target is cold and this VM's requests to it are limited.
     #[must_use]
     pub fn is_limited(&self, now: Timestamp) -> bool {
         self.is_cold(now) && self.quota.get() != ColdQuota::Unlimited
     }
 
-    /// Whether this VM sends to the target at all while it is cold.
+    /// Whether this VM may send any requests to the target while it is cold.
     #[must_use]
     pub fn has_quota(&self) -> bool {
         self.quota.get() != ColdQuota::Zero
     }
 
-    /// Notes until when the target is cold; one that was warm begins with a new bucket.
-    pub fn set_cold_until(&self, until: Timestamp, now: Timestamp) {
+    /// Sets the end of the cold phase. A target that was warm starts with a new bucket.
+    pub fn set_cold_until(&self, cold_until: Timestamp, now: Timestamp) {
         if !self.is_cold(now) {
             self.restart(now);
         }
-        self.cold_until.set(until);
+        self.cold_until.set(cold_until);
     }
 
-    /// Notes this VM's share; another kind of share begins with a new bucket.
+    /// Sets this VM's quota. A different kind of quota starts with a new bucket.
     pub fn set_quota(&self, quota: ColdQuota, now: Timestamp) {
-        let known = self.quota.replace(quota);
-        if std::mem::discriminant(&known) != std::mem::discriminant(&quota) {
+        let previous = self.quota.replace(quota);
+        if std::mem::discriminant(&previous) != std::mem::discriminant(&quota) {
             self.restart(now);
         }
     }
 
     fn restart(&self, now: Timestamp) {
-        self.tokens.set(self.quota.get().first(self.phase));
-        self.filled.set(now);
+        self.tokens.set(self.quota.get().initial_tokens(self.phase));
+        self.refilled_at.set(now);
     }
 
     /// Whether one more request may be sent now.
@@ -173,14 +174,14 @@
         self.tokens.get() >= 1.0
     }
 
-    /// Counts a request that is sent.
+    /// Takes the token of a request that is sent.
     pub fn record_sent(&self, now: Timestamp) {
         if self.is_limited(now) {
             self.tokens.set(self.tokens.get() - 1.0);
         }
     }
 
-    /// Gives a request back that was counted and not sent.
+    /// Returns the token of a request that was recorded but not sent.
     pub fn refund(&self, now: Timestamp) {
         if self.is_limited(now) {
             self.tokens.set(self.tokens.get() + 1.0);
@@ -188,8 +189,8 @@
     }
 
     fn refill(&self, now: Timestamp) {
-        let grown = now.since(self.filled.replace(now)).as_secs_f64();
-        let tokens = self.tokens.get() + grown * self.quota.get().rate();
+        let elapsed_s = now.since(self.refilled_at.replace(now)).as_secs_f64();
+        let tokens = self.tokens.get() + elapsed_s * self.quota.get().rate();
         self.tokens.set(tokens.min(1.0));
     }
 }
