--- a/crates/nickellead_balance/src/lib.rs
+++ b/crates/nickellead_balance/src/lib.rs
@@ -1,10 +1,9 @@
-//! Choosing a target among members that are unequal, changing, cold, failing or lying.
+//! Selects a target among candidates of different speed, health and load.
 //!
-//! A [`TargetScore`] learns from the outcomes of this VM's own requests; traffic
-//! itself is the probe. [`choose`] compares a few members drawn at random and
-//! takes the one that promises the shortest answer. [`even_subset`] shares targets out among VMs.
-//! [`TargetSignals`] is what a target told of itself; [`ZoneReachability`] tells a zone that is cut off by the
-//! silence of a few of its targets.
+//! A [`TargetScore`] is learned from the outcomes of this VM's own requests; there are no separate
+//! health probes. [`choose`] samples a few candidates at random and takes the one with the lowest
+//! expected latency. [`even_subset`] spreads targets evenly over VMs, [`TargetSignals`] holds what a
+//! target reports about itself, and [`ZoneReachability`] detects an unreachable availability zone.
 
 mod baseline;
 mod reachability;
