--- a/crates/nickellead_balance/src/selection.rs
+++ b/crates/nickellead_balance/src/selection.rs
@@ -1,69 +1,71 @@
-//! The choice among candidates.
+//! Selection of one target among candidates.
 
 use nickellead_core::Timestamp;
 
 use crate::TargetScore;
 
-/// One member that may be chosen.
+/// A target that may be selected for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What this VM has learned about it.
+    /// Statistics of this VM's requests to the target.
     pub score: &'a TargetScore,
-    /// Requests it runs side by side.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it is in this VM's availability zone.
+    /// Whether the target is in this VM's availability zone.
     pub same_zone: bool,
-    /// Whether it started a moment ago and is still slow.
+    /// Whether the target has just started and is still slow.
     pub cold: bool,
 }
 
-/// Members compared for one request.
+/// Number of candidates sampled for one request.
 ///
-/// More would send all VMs to the same best member at the same time.
-const DRAWN: usize = 3;
-/// A target elsewhere must be better by this factor: bytes between zones cost. Over ten runs with faults
-/// 2 served as many requests as 1.15 and sent a fifth to a quarter fewer bytes between zones.
-const FAR_FACTOR: f64 = 2.0;
-/// A cold target takes about this many times as long.
-const COLD_FACTOR: f64 = 2.0;
+/// A larger sample would make all VMs select the same best target at the same time.
+const SAMPLE_SIZE: usize = 3;
+/// Cost factor of a target in another availability zone, because traffic between zones is charged.
+const OTHER_ZONE_COST_FACTOR: f64 = 2.0;
+/// Cost factor of a cold target, whose responses are slower.
+const COLD_COST_FACTOR: f64 = 2.0;
 
-/// What a choice goes by beside the scores.
+/// Criteria that a selection uses in addition to the scores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SelectionRules {
-    /// Members with many failures are left out.
+    /// Excludes targets that are ejected for their failures.
     pub ejection: bool,
-    /// Members of the own availability zone are preferred.
+    /// Prefers targets in this VM's availability zone.
     pub prefer_same_zone: bool,
-    /// Members that have just started are avoided.
+    /// Avoids targets that have just started.
     pub avoid_cold: bool,
 }
 
-/// Chooses one of the candidates; `None` when there are none.
+/// Selects one of the candidates and returns its index; `None` if there are no candidates.
 ///
-/// Members that are left out for their failures are used only when at least
-/// half of all are left out: then the fault is probably elsewhere.
+/// If more than half of the candidates are ejected, ejection is ignored, because the cause is
+/// probably not in the targets.
 pub fn choose(
     candidates: &[Candidate<'_>],
     rules: SelectionRules,
     now: Timestamp,
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
-    let is_sound = |place: &usize| !rules.ejection || !candidates[*place].score.is_ejected(now);
-    let sound: Vec<usize> = (0..candidates.len()).filter(is_sound).collect();
-    let pool: Vec<usize> =
-        if sound.len() * 2 >= candidates.len() { sound } else { (0..candidates.len()).collect() };
-    let draws = DRAWN.min(pool.len());
-    let drawn = (0..draws).map(|_| pool[rng.usize(..pool.len())]);
-    drawn.min_by(|a, b| cost(&candidates[*a], rules).total_cmp(&cost(&candidates[*b], rules)))
+    let is_healthy = |index: &usize| !rules.ejection || !candidates[*index].score.is_ejected(now);
+    let healthy: Vec<usize> = (0..candidates.len()).filter(is_healthy).collect();
+    let pool: Vec<usize> = if healthy.len() * 2 >= candidates.len() {
+        healthy
+    } else {
+        (0..candidates.len()).collect()
+    };
+    let sample_size = SAMPLE_SIZE.min(pool.len());
+    let sample = (0..sample_size).map(|_| pool[rng.usize(..pool.len())]);
+    sample.min_by(|a, b| cost(&candidates[*a], rules).total_cmp(&cost(&candidates[*b], rules)))
 }
 
 fn cost(candidate: &Candidate<'_>, rules: SelectionRules) -> f64 {
     let mut cost = candidate.score.cost(candidate.slots);
     if rules.prefer_same_zone && !candidate.same_zone {
-        cost *= FAR_FACTOR;
+        cost *= OTHER_ZONE_COST_FACTOR;
     }
     if rules.avoid_cold && candidate.cold {
-        cost *= COLD_FACTOR;
+        cost *= COLD_COST_FACTOR;
     }
     cost
 }
