--- a/crates/nickellead_balance/src/baseline.rs
+++ b/crates/nickellead_balance/src/baseline.rs
@@ -1,21 +1,21 @@
-//! How long a target takes when it is not hurried.
+//! Latency of a target without queueing.
 
-/// Weight of an answer faster than the unhurried time, which so follows the faster answers.
+/// Weight of a response faster than the baseline, which therefore follows the faster responses.
 const FASTER_WEIGHT: f64 = 0.2;
-/// Weight of an answer slower than the unhurried time.
+/// Weight of a response slower than the baseline.
 const SLOWER_WEIGHT: f64 = 0.05;
 
-/// Time of an answer of a target with room, learned from answers that may have waited there.
+/// Estimated latency of a target without queueing, learned from responses that may have queued.
 ///
-/// It follows the faster ones, for those have waited least. The first answers are simply averaged:
-/// an assumed time to start from would hide for dozens of answers how unlike targets are, and on a
-/// fleet of hundreds of VMs each of them sees a target only now and then.
+/// The estimate follows the faster responses, which have queued least. It starts as the plain average
+/// of the first responses: with an assumed start value a VM of a large fleet, which rarely sends to a
+/// given target, would take too long to learn how targets differ.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BaselineLatency {
     millis: f64,
     samples: u32,
-    /// Part of the usual weights that an answer has.
-    weight: f64,
+    /// Factor applied to [`FASTER_WEIGHT`] and [`SLOWER_WEIGHT`].
+    weight_factor: f64,
 }
 
 impl Default for BaselineLatency {
@@ -25,28 +25,29 @@
 }
 
 impl BaselineLatency {
-    /// A time that gives an answer this part of its usual weight: the answers that all VMs see are
-    /// many, and each may be three times as fast or as slow as the mean.
+    /// Creates an estimate that scales the weight of each response.
+    ///
+    /// A low factor suits the responses of a whole fleet, which are many and vary widely.
     #[must_use]
-    pub fn with_weight_factor(weight: f64) -> Self {
-        Self { millis: 0.0, samples: 0, weight }
+    pub fn with_weight_factor(weight_factor: f64) -> Self {
+        Self { millis: 0.0, samples: 0, weight_factor }
     }
 
-    /// Takes in an answer that took `millis` milliseconds.
+    /// Records the latency of a response in milliseconds.
     pub fn record(&mut self, millis: f64) {
         self.samples = self.samples.saturating_add(1);
-        let usual = if millis < self.millis { FASTER_WEIGHT } else { SLOWER_WEIGHT };
-        let weight = (usual * self.weight).max(1.0 / f64::from(self.samples));
+        let base_weight = if millis < self.millis { FASTER_WEIGHT } else { SLOWER_WEIGHT };
+        let weight = (base_weight * self.weight_factor).max(1.0 / f64::from(self.samples));
         self.millis += (millis - self.millis) * weight;
     }
 
-    /// The time in milliseconds; 0 before the first answer.
+    /// Estimate in milliseconds; 0 before the first response.
     #[must_use]
     pub fn millis(&self) -> f64 {
         self.millis
     }
 
-    /// Answers taken in so far.
+    /// Number of recorded responses.
     #[must_use]
     pub fn samples(&self) -> u32 {
         self.samples
