--- a/crates/nickellead_balance/src/subset.rs
+++ b/crates/nickellead_balance/src/subset.rs
@@ -1,28 +1,27 @@
-//! Which of a service's targets a VM sends to.
+//! Subsets of a service's targets for each VM.
 //!
-//! Each VM may have at least one request under way at every target that it uses. On a fleet with many VMs
-//! for each slot that is more than targets hold, and what is beyond is broken or late. So a VM uses the
-//! fewer targets the more VMs there are, and VMs that know the same fleet share the targets out evenly
-//! without asking each other.
+//! Each VM may have at least one request in flight at every target that it uses. With many VMs per
+//! slot this exceeds what targets can hold. Each VM therefore uses fewer targets the more VMs there
+//! are, and VMs with the same view of the fleet spread over the targets evenly without coordination.
 
-/// Requests for each slot that all VMs together may have under way when each has one at every target that
-/// it uses: one that is worked on, and one that is next.
-const REQUESTS_A_SLOT: f64 = 2.0;
+/// Requests in flight per slot when every VM has one at each target of its subset: one that runs and
+/// one that is queued.
+const REQUESTS_PER_SLOT: f64 = 2.0;
 
-/// How many targets a VM uses of those with this many slots together, shared by this many VMs.
+/// Number of targets that each of `vms` VMs uses of `targets` targets with `slots` slots in total.
 ///
-/// At least `least`, so that a lost one can be done without, and `most` at most: a VM that spread its
-/// requests over hundreds of targets would use no connection twice before its target closes it.
+/// `min` keeps a VM from depending on a single target. `max` keeps a VM from spreading its requests
+/// so thinly that targets close its idle connections before their next use.
 #[must_use]
-pub fn subset_size(slots: u32, vms: usize, targets: usize, least: usize, most: usize) -> usize {
-    let size = (f64::from(slots) * REQUESTS_A_SLOT / vms.max(1) as f64).ceil();
-    (size as usize).clamp(least, most).min(targets)
+pub fn subset_size(slots: u32, vms: usize, targets: usize, min: usize, max: usize) -> usize {
+    let size = (f64::from(slots) * REQUESTS_PER_SLOT / vms.max(1) as f64).ceil();
+    (size as usize).clamp(min, max).min(targets)
 }
 
-/// The places of the targets that the VM at place `vm` of `vms` uses: `size` neighbours.
+/// Indices of the `size` adjacent targets that the VM with index `vm` of `vms` uses.
 ///
-/// Each target has the same number of VMs, but for one; a VM or target that comes or goes moves the parts
-/// by one place at most for each.
+/// Nearly equal numbers of VMs use each target. Adding or removing a VM or a target shifts each subset
+/// by at most one index.
 pub fn even_subset(
     vm: usize,
     vms: usize,
@@ -30,5 +29,5 @@
     size: usize,
 ) -> impl Iterator<Item = usize> {
     let first = vm * targets / vms.max(1);
-    (0..size.min(targets)).map(move |next| (first + next) % targets)
+    (0..size.min(targets)).map(move |offset| (first + offset) % targets)
 }
