--- a/crates/nickellead_balance/src/reachability.rs
+++ b/crates/nickellead_balance/src/reachability.rs
@@ -1,8 +1,9 @@
-//! Whether the targets of an availability zone can be reached from this VM.
+//! Detects availability zones that this VM cannot reach.
 //!
-//! Behind a cut each connection to a target meets silence, which costs a request 0.4 s, often all that it
-//! has. Two targets of a zone that were silent, and none that answered since, speak for all of them: until
-//! one answers, only a request now and then is sent there.
+//! Behind a network partition every connection attempt runs into its timeout, which uses up much of a
+//! request's deadline. A zone counts as unreachable once connections to several of its targets have
+//! timed out and none has responded since. Until a target responds, only occasional requests are sent
+//! to the zone.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,58 +11,58 @@
 
 use nickellead_core::Timestamp;
 
-/// Silent targets of a zone, with none that answered since, from which the zone counts as out of reach: one
-/// may have been lost for itself.
-const SILENT_TARGETS: usize = 2;
-/// How long a silence counts; tries meanwhile renew it.
-const SILENCE_KEPT: Duration = Duration::from_millis(2_000);
-/// Between two tries to reach a zone out of reach: a healed one is used again within this time.
-const TRY_PAUSE: Duration = Duration::from_millis(300);
+/// Number of targets with connect timeouts from which a zone counts as unreachable. A single target
+/// may have failed on its own.
+const MIN_TIMED_OUT_TARGETS: usize = 2;
+/// Time for which a connect timeout counts; further attempts renew it.
+const TIMEOUT_TTL: Duration = Duration::from_millis(2_000);
+/// Interval between attempts to reach an unreachable zone.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Silences of one zone's targets since one of them last answered.
+/// Connect timeouts of one zone's targets since the last response from the zone.
 #[derive(Default)]
-struct ZoneSilence {
-    /// Targets, each with its last silence.
+struct ZoneTimeouts {
+    /// Time of the last connect timeout by target.
     targets: HashMap<String, Timestamp>,
-    tried: Timestamp,
+    last_attempt: Timestamp,
 }
 
-impl ZoneSilence {
-    fn is_out(&self, now: Timestamp) -> bool {
-        let fresh = self.targets.values().filter(|at| now.since(**at) < SILENCE_KEPT);
-        fresh.count() >= SILENT_TARGETS
+impl ZoneTimeouts {
+    fn is_unreachable(&self, now: Timestamp) -> bool {
+        let recent = self.targets.values().filter(|at| now.since(**at) < TIMEOUT_TTL);
+        recent.count() >= MIN_TIMED_OUT_TARGETS
     }
 }
 
-/// The zones of which targets were silent.
+/// Connect timeouts by availability zone.
 #[derive(Default)]
-pub struct ZoneReachability(RefCell<HashMap<String, ZoneSilence>>);
+pub struct ZoneReachability(RefCell<HashMap<String, ZoneTimeouts>>);
 
 impl ZoneReachability {
-    /// Notes that a connection to a target met silence.
+    /// Records that a connection attempt to a target timed out.
     pub fn record_connect_timeout(&self, zone: &str, target: &str, now: Timestamp) {
         let mut zones = self.0.borrow_mut();
-        let silence = zones.entry(zone.to_owned()).or_default();
-        silence.targets.insert(target.to_owned(), now);
+        let timeouts = zones.entry(zone.to_owned()).or_default();
+        timeouts.targets.insert(target.to_owned(), now);
     }
 
-    /// Notes that a target answered.
+    /// Records that a target of the zone responded, which makes the zone reachable.
     pub fn record_response(&self, zone: &str) {
         self.0.borrow_mut().remove(zone);
     }
 
-    /// Whether a request may be sent to a zone now: it is in reach, or a try is due.
+    /// Whether a request may be sent to the zone: the zone is reachable, or an attempt is due.
     #[must_use]
     pub fn may_attempt(&self, zone: &str, now: Timestamp) -> bool {
         let zones = self.0.borrow();
-        let tries = |silence: &ZoneSilence| now.since(silence.tried) >= TRY_PAUSE;
-        zones.get(zone).is_none_or(|silence| !silence.is_out(now) || tries(silence))
+        let is_due = |timeouts: &ZoneTimeouts| now.since(timeouts.last_attempt) >= ATTEMPT_INTERVAL;
+        zones.get(zone).is_none_or(|timeouts| !timeouts.is_unreachable(now) || is_due(timeouts))
     }
 
-    /// Notes that a request is sent to a zone.
+    /// Records that a request is sent to the zone.
     pub fn record_attempt(&self, zone: &str, now: Timestamp) {
-        if let Some(silence) = self.0.borrow_mut().get_mut(zone) {
-            silence.tried = now;
+        if let Some(timeouts) = self.0.borrow_mut().get_mut(zone) {
+            timeouts.last_attempt = now;
         }
     }
 }
