--- a/crates/nickellead_balance/src/signals.rs
+++ b/crates/nickellead_balance/src/signals.rs
@@ -1,138 +1,144 @@
-//! What one life of a target told a VM of itself, and whether it may be asked after that.
+//! Signals that one instance of a target sends about itself on its responses.
 //!
-//! A target knows before anybody else that it leaves or is overrun, and says so on its answers. That binds the
-//! VM that was told, at once and until the end of that life, whatever a list says meanwhile: an entry in a
-//! list comes later, and may not come while the store is away.
+//! A target reports on its responses that it is leaving, that it requests a pause, or that it limits
+//! the request rate. A signal applies at once to the VM that receives it and for the life of the
+//! target's instance, whatever a list of targets says: lists are updated later, and not at all while
+//! the store is unavailable.
 
 use std::time::Duration;
 
 use nickellead_core::Timestamp;
 
-/// What a VM heard of a limit itself counts for so long against what the mandate's holder tells, who learns it
-/// within a second.
-const HEARD_FRESH: Duration = Duration::from_millis(1_500);
+/// Time for which a limit that this VM observed itself overrides the one that the mandate holder
+/// publishes, which may not yet include the observation.
+const OBSERVED_LIMIT_TTL: Duration = Duration::from_millis(1_500);
 
-/// What the mandate's holder tells of the limit of one life of a target.
+/// Limit of one target instance that the mandate holder publishes from the reports of all VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ReportedLimit {
-    /// Nothing.
+    /// The mandate holder publishes nothing about the instance.
     #[default]
     Unknown,
-    /// No VM hears of one any more.
+    /// The target no longer reports a limit to any VM.
     Unlimited,
-    /// So many requests a second from all VMs together.
+    /// Requests per second from all VMs together.
     Limited(f64),
 }
 
-/// Signs of one life of one target.
+/// Signals of one target instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetSignals {
     leaving_since: Option<Timestamp>,
     paused_until: Timestamp,
-    limit: Option<NamedLimit>,
-    /// When the last answer came that named no limit.
-    unlimited: Timestamp,
+    limit: Option<ObservedLimit>,
+    /// Time of the last accepted response without a limit.
+    unlimited_at: Timestamp,
 }
 
-/// A limit that a target named, and still names as far as this VM knows.
+/// Limit on a response of the target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct NamedLimit {
-    /// Requests a second from all VMs together.
+struct ObservedLimit {
+    /// Requests per second from all VMs together.
     rate: f64,
-    /// When the last answer came that named it.
-    heard: Timestamp,
+    /// Time of the last response with this limit.
+    observed_at: Timestamp,
 }
 
 impl TargetSignals {
-    /// Notes that the target said that it leaves; tells whether that is new.
+    /// Records that the target reports that it is leaving. Returns whether this is new.
     pub fn observe_leaving(&mut self, now: Timestamp) -> bool {
-        let new = self.leaving_since.is_none();
+        let is_new = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
-        new
+        is_new
     }
 
-    /// Notes that the target wants nothing for so long; tells whether it was not paused already.
+    /// Records that the target requests a pause. Returns whether it was not paused before.
     ///
-    /// Of several such wishes the latest end counts.
+    /// Overlapping pauses end with the latest one.
     pub fn observe_pause(&mut self, pause: Duration, now: Timestamp) -> bool {
-        let new = !self.is_paused(now);
+        let is_new = !self.is_paused(now);
         self.paused_until = self.paused_until.max(now + pause);
-        new
+        is_new
     }
 
-    /// Notes the requests a second that the target takes from all VMs together, or that it names no limit,
-    /// as an answer says to a request that was sent at `sent`; tells whether that is new.
+    /// Records the limit on a response, in requests per second from all VMs together. `sent` is the
+    /// time at which the request was sent. Returns whether the limit has changed.
     ///
-    /// Answers overtake each other, so one that allows more counts only if its request was sent after the last
-    /// answer came that allowed less.
+    /// Responses can overtake each other. A response with a higher limit, or with none, is ignored
+    /// unless its request was sent after the last response with the lower limit arrived.
     pub fn observe_limit(&mut self, limit: Option<f64>, sent: Timestamp, now: Timestamp) -> bool {
-        let known = self.limit;
-        if known
-            .is_some_and(|known| limit.is_none_or(|rate| rate > known.rate) && sent <= known.heard)
-        {
+        let previous = self.limit;
+        if previous.is_some_and(|previous| {
+            limit.is_none_or(|rate| rate > previous.rate) && sent <= previous.observed_at
+        }) {
             return false;
         }
-        self.limit = limit.map(|rate| NamedLimit { rate, heard: now });
+        self.limit = limit.map(|rate| ObservedLimit { rate, observed_at: now });
         if limit.is_none() {
-            self.unlimited = now;
+            self.unlimited_at = now;
         }
-        known.map(|known| known.rate) != limit
+        previous.map(|previous| previous.rate) != limit
     }
 
-    /// Requests a second that the target takes from all VMs together, if it names a limit.
+    /// Limit that this VM observed, in requests per second from all VMs together.
     #[must_use]
     pub fn limit(&self) -> Option<f64> {
         self.limit.map(|limit| limit.rate)
     }
 
-    /// The same, where the mandate's holder tells what other VMs heard. What this VM heard itself stands for as
-    /// long as the holder may not have learned it; after that its word is the newer one.
+    /// Limit to apply, in requests per second from all VMs together.
+    ///
+    /// A recent observation of this VM overrides the limit that the mandate holder publishes, which in
+    /// turn overrides an older observation.
     #[must_use]
-    pub fn effective_limit(&self, told: ReportedLimit, now: Timestamp) -> Option<f64> {
-        let fresh = |heard: Timestamp| now.since(heard) < HEARD_FRESH;
-        match (self.limit, told) {
-            (Some(own), _) if fresh(own.heard) => Some(own.rate),
-            (None, _) if fresh(self.unlimited) && self.unlimited > Timestamp::ZERO => None,
+    pub fn effective_limit(&self, reported: ReportedLimit, now: Timestamp) -> Option<f64> {
+        let is_recent = |observed_at: Timestamp| now.since(observed_at) < OBSERVED_LIMIT_TTL;
+        match (self.limit, reported) {
+            (Some(own), _) if is_recent(own.observed_at) => Some(own.rate),
+            (None, _) if is_recent(self.unlimited_at) && self.unlimited_at > Timestamp::ZERO => {
+                None
+            }
             (own, ReportedLimit::Unknown) => own.map(|own| own.rate),
             (_, ReportedLimit::Unlimited) => None,
             (_, ReportedLimit::Limited(rate)) => Some(rate),
         }
     }
 
-    /// Since when the target is known to leave.
+    /// Time at which the target first reported that it is leaving.
     #[must_use]
     pub fn leaving_since(&self) -> Option<Timestamp> {
         self.leaving_since
     }
 
-    /// Whether the target wants nothing now.
+    /// Whether the target's pause has not ended.
     #[must_use]
     pub fn is_paused(&self, now: Timestamp) -> bool {
         now < self.paused_until
     }
 
-    /// How much longer the target wants nothing.
+    /// Time until the target's pause ends.
     #[must_use]
     pub fn pause_remaining(&self, now: Timestamp) -> Duration {
         self.paused_until.since(now)
     }
 
-    /// Whether anything that it told still counts.
+    /// Whether any signal is still active.
     #[must_use]
     pub fn has_active_signal(&self, now: Timestamp) -> bool {
         self.leaving_since.is_some() || self.limit.is_some() || self.is_paused(now)
     }
 
-    /// Whether the target still serves what it alone can: it does for `stay` after it said that it leaves.
+    /// Whether the target serves requests for the keys that it owns. A leaving target does so for
+    /// `linger` after its report.
     #[must_use]
-    pub fn serves_owned_keys(&self, stay: Duration, now: Timestamp) -> bool {
-        self.leaving_since.is_none_or(|since| now.since(since) < stay)
+    pub fn serves_owned_keys(&self, linger: Duration, now: Timestamp) -> bool {
+        self.leaving_since.is_none_or(|since| now.since(since) < linger)
     }
 
-    /// Whether a request that nobody else can serve may be sent now: for `stay` after it said that it leaves
-    /// the target goes on serving what it alone can.
+    /// Whether a request for a key that the target owns may be sent now: the target serves its keys,
+    /// see [`Self::serves_owned_keys`], and is not paused.
     #[must_use]
-    pub fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
-        self.serves_owned_keys(stay, now) && !self.is_paused(now)
+    pub fn may_send(&self, linger: Duration, now: Timestamp) -> bool {
+        self.serves_owned_keys(linger, now) && !self.is_paused(now)
     }
 }
