--- a/crates/nickellead_core/src/error.rs
+++ b/crates/nickellead_core/src/error.rs
@@ -1,19 +1,19 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! Error kinds of the router and the response for each of them.
 
 use serde::{Deserialize, Serialize};
 
-/// What a caller may conclude from an answer that is not "done".
+/// What a caller may conclude from an error response about the effect of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OutcomeClass {
-    /// It was proved that the operation did not run; repeating it is safe.
+    /// The operation did not run, so a retry is safe.
     NotRun,
     /// The operation may have run.
     Unknown,
 }
 
 impl OutcomeClass {
-    /// The value of the `nickellead-outcome` header.
+    /// Value of the `nickellead-outcome` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -23,49 +23,49 @@
     }
 }
 
-/// How loud an error is in the log.
+/// Log level of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorLevel {
-    /// The caller's mistake; counted, not logged by default.
+    /// Caused by the caller; counted, but not logged by default.
     Debug,
-    /// Expected under load or during a move.
+    /// Expected under load or while ownership moves.
     Info,
-    /// Somebody should look.
+    /// Needs attention by an operator.
     Warn,
 }
 
-/// One row of the table from kind to answer.
+/// Response for one error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorResponse {
-    /// The kind this row answers for.
+    /// Error kind that the response belongs to.
     pub kind: ErrorKind,
     /// Value of the `nickellead-error` header.
     pub code: &'static str,
     /// HTTP status.
     pub status: u16,
-    /// What the caller may conclude.
+    /// Whether the operation may have run.
     pub outcome: OutcomeClass,
-    /// When to come back, in milliseconds; `None` where repeating can't help.
+    /// Delay before a retry, in milliseconds; `None` if a retry does not help.
     pub retry_after_ms: Option<u32>,
-    /// Loudness in the log.
+    /// Level at which the error is logged.
     pub level: ErrorLevel,
-    /// What it means and how to mend it.
+    /// Meaning of the error and what the caller can do about it.
     pub help: &'static str,
 }
 
 macro_rules! error_table {
     ($($kind:ident, $code:literal, $status:literal, $outcome:ident, $retry:expr, $level:ident, $help:literal;)*) => {
-        /// Every way a request can fail.
+        /// Reason for which the router fails a request.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
         pub enum ErrorKind {
             $(#[doc = $help] #[error($help)] $kind,)*
         }
 
         impl ErrorKind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in the order of the table.
             pub const ALL: &'static [Self] = &[$(Self::$kind,)*];
 
-            /// The row of the table for this kind.
+            /// Response for this kind.
             #[must_use]
             pub const fn response(self) -> ErrorResponse {
                 match self {
