--- a/crates/nickellead_core/src/ident.rs
+++ b/crates/nickellead_core/src/ident.rs
@@ -1,42 +1,41 @@
-//! Names of declared things, and the small `Copy` keys made from them.
+//! Names of declared objects and the `Copy` keys derived from them.
 
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest name of an object, in bytes.
-const NAME_LENGTH_MAX: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 
-/// A checked name: lower-case letters, digits, `-` and `.`, at most 63 bytes.
+/// A validated name: lower-case letters, digits, `-` and `.`, at most 63 bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Encode, Decode)]
 #[serde(transparent)]
 pub struct Name(String);
 
-/// Why a text is no [`Name`].
+/// Reason for which a text is not a valid [`Name`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameError {
-    /// The text has no character.
+    /// The text is empty.
     #[error("is empty: give it 1 to 63 characters")]
     Empty,
     /// The text is longer than 63 bytes.
     #[error("has {0} bytes: shorten it to at most 63")]
     TooLong(usize),
-    /// The text holds a character that names may not hold.
+    /// The text contains a character that is not allowed in names.
     #[error("holds {0:?}: use lower-case letters, digits, '-' and '.' only")]
     BadCharacter(char),
 }
 
 impl Name {
-    /// Checks a text and makes a name of it.
+    /// Validates a text as a name.
     ///
     /// # Errors
-    /// Returns a [`NameError`] that says which rule the text breaks.
+    /// Returns a [`NameError`] for the first rule that the text violates.
     pub fn new(text: &str) -> Result<Self, NameError> {
         if text.is_empty() {
             return Err(NameError::Empty);
         }
-        if text.len() > NAME_LENGTH_MAX {
+        if text.len() > MAX_NAME_BYTES {
             return Err(NameError::TooLong(text.len()));
         }
         match text.chars().find(|character| !is_name_character(*character)) {
@@ -45,13 +44,13 @@
         }
     }
 
-    /// The name as text.
+    /// Text of the name.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The stable 64-bit hash that the `Copy` keys are made of.
+    /// XXH3-64 hash of the name, which is the value of its `Copy` key. It is the same on every VM.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         xxh3_64(self.0.as_bytes())
@@ -97,18 +96,18 @@
 }
 
 name_key! {
-    /// A service, by the hash of its name: the same on every VM, so it may go on the wire.
+    /// Key of a service: the hash of its name, which is the same on every VM.
     ServiceKey
 }
 name_key! {
-    /// A target, by the hash of its name.
+    /// Key of a target: the hash of its name.
     TargetKey
 }
 name_key! {
-    /// A VM, by the hash of its name.
+    /// Key of a VM: the hash of its name.
     VmKey
 }
 name_key! {
-    /// An availability zone, by the hash of its name.
+    /// Key of an availability zone: the hash of its name.
     ZoneKey
 }
