--- a/crates/nickellead_core/src/key.rs
+++ b/crates/nickellead_core/src/key.rs
@@ -1,16 +1,16 @@
-//! From a caller's key to its shard.
+//! Maps the keys of callers to shards.
 
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest key that callers may name, in bytes.
+/// Maximum length of a caller's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// How many shards a service has; never zero.
+/// Number of shards of a service.
 pub type ShardCount = std::num::NonZeroU32;
 
-/// One fixed hash partition of a service's keys.
+/// Index of a shard, which is a fixed hash partition of a service's keys.
 #[derive(
     Clone,
     Copy,
@@ -29,7 +29,7 @@
 #[serde(transparent)]
 pub struct ShardIndex(pub u32);
 
-/// The shard of a key: XXH3-64, scaled to the count without a division.
+/// Shard of a key: its XXH3-64 hash, scaled to the number of shards without a division.
 ///
 /// ```
 /// use nickellead_core::{ShardCount, shard_of};
