--- a/crates/nickellead_core/src/lib.rs
+++ b/crates/nickellead_core/src/lib.rs
@@ -1,7 +1,6 @@
-//! Identifiers, epochs, keys, time and the closed list of error kinds.
+//! Identifiers, epochs, keys, time and error kinds that all other crates share.
 //!
-//! Every other crate builds on these small `Copy` types. Nothing here does
-//! input or output, reads a clock or starts a thread.
+//! The crate performs no input or output, reads no clock and starts no threads.
 
 mod error;
 mod ident;
@@ -17,7 +16,7 @@
 pub use rules::is_rule_disabled;
 pub use time::{DriftBound, Timestamp};
 
-/// The types that nearly every module needs.
+/// Types that most modules use.
 pub mod prelude {
     pub use crate::{
         Epoch, ErrorKind, Incarnation, Name, Nonce, Sequence, ServiceKey, ShardIndex, TargetKey,
