--- a/crates/nickellead_core/src/number.rs
+++ b/crates/nickellead_core/src/number.rs
@@ -1,4 +1,4 @@
-//! Counters that only grow: epochs, terms, versions and their kin.
+//! Numbers that identify epochs, terms, versions, incarnations and orders.
 
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -14,10 +14,10 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The first value, before anything was counted.
+            /// Value before the first one that is assigned.
             pub const ZERO: Self = Self(0);
 
-            /// The value after this one.
+            /// Next higher value.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -33,11 +33,11 @@
 }
 
 counter! {
-    /// Fencing number of one shard's ownership.
+    /// Fencing token of the ownership of a shard.
     Epoch
 }
 counter! {
-    /// Number of a zone's mandate; each new coordinator takes the next one.
+    /// Term of a zone's mandate (leader lease). Each new coordinator takes the next term.
     Term
 }
 counter! {
@@ -45,14 +45,14 @@
     Version
 }
 counter! {
-    /// Value a target issues with each answer, returned to it by the next heartbeat.
+    /// Value that a target sends with each response and that the next heartbeat returns to it.
     Nonce
 }
 counter! {
-    /// Number of one life of a process; drawn at random when it starts.
+    /// Identifies one run of a process; drawn at random when the process starts.
     Incarnation
 }
 counter! {
-    /// Number of one order to a target, within a term and an incarnation.
+    /// Number of an order to a target, within a term and an incarnation.
     Sequence
 }
