--- a/crates/nickellead_core/src/rules.rs
+++ b/crates/nickellead_core/src/rules.rs
@@ -1,31 +1,30 @@
-//! The safety rules by name, so that a test build can take one out.
+//! Named safety rules that a mutation test can disable.
 //!
-//! With the feature `mutations`, the environment variable
-//! `NICKELLEAD_MUTATION` names one rule that is not enforced; `tools/mutations`
-//! expects a test to fail for each. A release build with the feature does not
-//! compile, and without it the check is a constant.
+//! With the feature `mutations`, the environment variable `NICKELLEAD_MUTATION` names one rule that
+//! is not enforced, and `tools/mutations` checks that some test fails for each rule. Without the
+//! feature the check is a constant. The feature does not compile in release builds.
 
 #[cfg(all(feature = "mutations", not(debug_assertions)))]
-compile_error!("feature mutations takes safety rules out: it is for test builds only");
+compile_error!("feature mutations disables safety rules: it is for test builds only");
 
-/// Whether the rule of this name is taken out in this run.
+/// Whether this run disables the named rule.
 #[cfg(feature = "mutations")]
 #[must_use]
 pub fn is_rule_disabled(name: &str) -> bool {
     use std::sync::LazyLock;
-    static TAKEN_OUT: LazyLock<String> =
+    static DISABLED_RULE: LazyLock<String> =
         LazyLock::new(|| std::env::var("NICKELLEAD_MUTATION").unwrap_or_default());
-    *TAKEN_OUT == name
+    *DISABLED_RULE == name
 }
 
-/// Whether the rule of this name is taken out in this run: never.
+/// Whether this run disables the named rule; always `false` without the feature `mutations`.
 #[cfg(not(feature = "mutations"))]
 #[must_use]
 pub const fn is_rule_disabled(_name: &str) -> bool {
     false
 }
 
-/// `true` unless this test run takes the named safety rule out.
+/// Evaluates to `true` unless this test run disables the named safety rule.
 #[macro_export]
 macro_rules! enforced {
     ($name:literal) => {
