--- a/crates/nickellead_event/src/lib.rs
+++ b/crates/nickellead_event/src/lib.rs
@@ -1,7 +1,7 @@
-//! The closed list of log events, written as one line of key=value pairs each.
+//! Log events of the router, written as one line of key=value pairs each.
 //!
-//! Every part of the product logs through [`log_event`], so that a reader of
-//! logs meets one form and one list of names; `docs/EVENTS.md` lists them.
+//! All crates log through [`log_event`], so that log lines have one format and a fixed set of event
+//! and field names. `docs/EVENTS.md` documents them.
 
 mod event;
 
