--- a/crates/nickellead_event/examples/events_page.rs
+++ b/crates/nickellead_event/examples/events_page.rs
@@ -1,5 +1,5 @@
-//! Prints `docs/EVENTS.md` from the table of events.
-#![allow(clippy::print_stdout, reason = "an example speaks to its reader")]
+//! Prints the content of `docs/EVENTS.md`.
+#![allow(clippy::print_stdout, reason = "the page is the output of this example")]
 
 fn main() {
     print!("{}", nickellead_event::events_page());
--- a/crates/nickellead_event/tests/lines.rs
+++ b/crates/nickellead_event/tests/lines.rs
@@ -1,9 +1,9 @@
-//! One event is one line, whatever callers put into it.
+//! Guards against log lines that callers can forge, and against undocumented events and fields.
 
 use nickellead_event::{EventName, event_line, events_page};
 
 #[test]
-fn plain_values_stand_as_they_are() {
+fn plain_values_are_not_quoted() {
     let line = event_line(EventName::RequestFailed, &[("request", &"9c41"), ("after_ms", &12)]);
     assert_eq!(line, "event=request-failed request=9c41 after_ms=12");
 }
@@ -16,15 +16,14 @@
     assert_eq!(line.lines().count(), 1);
 }
 
-/// Every event stands in the page with its fields, and nothing else does.
 #[test]
-fn the_page_of_events_is_that_of_the_table() {
+fn the_events_page_matches_the_table() {
     let page = include_str!("../../../docs/EVENTS.md");
-    assert_eq!(page, events_page(), "write it anew as its head says");
+    assert_eq!(page, events_page(), "regenerate the page with the command in its head");
 }
 
 #[test]
-fn names_of_events_are_read_back_and_differ() {
+fn event_names_are_unique_and_can_be_parsed() {
     for event in EventName::ALL {
         assert_eq!(EventName::parse(event.as_str()), Some(*event));
     }
