--- a/crates/nickellead_route/src/lib.rs
+++ b/crates/nickellead_route/src/lib.rs
@@ -1,11 +1,10 @@
-//! The request path's decisions: routing table, limits, retries and queues.
+//! Routing tables, concurrency limits and retry budgets of the request path.
 //!
-//! - [`ZoneTable`] is what a VM knows of one zone's owners; it takes deltas
-//!   and never goes back to an older version.
-//! - [`RoutingTable`] is what a request worker reads: from service and key to
-//!   target and epoch, with no allocation.
-//! - [`ConcurrencyLimiter`] bounds what one worker has under way at one target.
-//! - [`RetryBudget`] bounds how much retries may add to the load.
+//! - [`ZoneTable`] holds the owners of one zone. It applies deltas and never returns to an older
+//!   version.
+//! - [`RoutingTable`] maps a service and key to a target and epoch without allocation.
+//! - [`ConcurrencyLimiter`] limits one worker's requests in flight at one target.
+//! - [`RetryBudget`] limits the load that retries add.
 
 mod concurrency;
 mod retry;
