--- a/crates/nickellead_route/src/concurrency.rs
+++ b/crates/nickellead_route/src/concurrency.rs
@@ -1,4 +1,4 @@
-//! What one worker may have under way at one target.
+//! Limits one worker's requests in flight at one target.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,73 +7,73 @@
 use nickellead_core::ErrorKind;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Bounds the requests under way at one target, and those that wait for a turn.
+/// Limits the number of requests in flight at one target and of those that wait for a permit.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
-    turns: std::sync::Arc<Semaphore>,
+    semaphore: std::sync::Arc<Semaphore>,
     waiting: Rc<Cell<u32>>,
-    queue: u32,
+    max_waiting: u32,
 }
 
-/// Leave to have one request under way; given back when dropped.
+/// Permit for one request in flight; dropping it releases the permit.
 #[derive(Debug)]
 pub struct ConcurrencyPermit(#[allow(dead_code)] OwnedSemaphorePermit);
 
 impl ConcurrencyLimiter {
-    /// A gate for `width` requests side by side and `queue` that wait.
+    /// Creates a limiter for `max_in_flight` concurrent and `max_waiting` waiting requests.
     #[must_use]
-    pub fn new(width: u32, queue: u32) -> Self {
-        let turns = std::sync::Arc::new(Semaphore::new(width.max(1) as usize));
-        Self { turns, waiting: Rc::default(), queue }
+    pub fn new(max_in_flight: u32, max_waiting: u32) -> Self {
+        let semaphore = std::sync::Arc::new(Semaphore::new(max_in_flight.max(1) as usize));
+        Self { semaphore, waiting: Rc::default(), max_waiting }
     }
 
-    /// Takes a turn, if one is free.
+    /// Acquires a permit if one is available.
     #[must_use]
     pub fn try_acquire(&self) -> Option<ConcurrencyPermit> {
-        self.turns.clone().try_acquire_owned().ok().map(ConcurrencyPermit)
+        self.semaphore.clone().try_acquire_owned().ok().map(ConcurrencyPermit)
     }
 
-    /// Waits for a turn.
+    /// Waits for a permit.
     ///
-    /// Requests that can wait may fill a quarter of the queue, so that urgent
-    /// ones find a place; both are served in the order they came.
+    /// Deferrable requests may fill only a quarter of the queue, which leaves space for urgent ones.
+    /// Both are served in order of arrival.
     ///
     /// # Errors
-    /// [`ErrorKind::QueueFull`] at once when too many wait already.
+    /// Returns [`ErrorKind::QueueFull`] without waiting if the queue is full.
     pub async fn acquire(&self, urgency: UrgencyClass) -> Result<ConcurrencyPermit, ErrorKind> {
         if let Some(permit) = self.try_acquire() {
             return Ok(permit);
         }
-        let queue = match urgency {
-            UrgencyClass::Urgent => self.queue,
-            UrgencyClass::Deferrable => self.queue / 4,
+        let max_waiting = match urgency {
+            UrgencyClass::Urgent => self.max_waiting,
+            UrgencyClass::Deferrable => self.max_waiting / 4,
         };
-        if self.waiting.get() >= queue {
+        if self.waiting.get() >= max_waiting {
             return Err(ErrorKind::QueueFull);
         }
-        let _waiting = WaitCount::new(&self.waiting);
-        let permit = self.turns.clone().acquire_owned().await;
+        let _guard = WaitingGuard::new(&self.waiting);
+        let permit = self.semaphore.clone().acquire_owned().await;
         permit.map(ConcurrencyPermit).map_err(|_| ErrorKind::Internal)
     }
 
-    /// Requests that wait for a turn.
+    /// Number of requests that wait for a permit.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.get()
     }
 }
 
-/// Counts one waiting request, also when its future is dropped.
-struct WaitCount<'a>(&'a Cell<u32>);
+/// Counts a waiting request until it is dropped, which includes cancellation of its future.
+struct WaitingGuard<'a>(&'a Cell<u32>);
 
-impl<'a> WaitCount<'a> {
+impl<'a> WaitingGuard<'a> {
     fn new(count: &'a Cell<u32>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for WaitCount<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
