--- a/crates/nickellead_route/src/retry.rs
+++ b/crates/nickellead_route/src/retry.rs
@@ -1,15 +1,15 @@
-//! How much retries may add, and how long to wait between them.
+//! Retry budget and backoff.
 
 use std::time::Duration;
 
-/// A bucket that requests fill and retries drain.
+/// Token bucket that first attempts fill and retries drain.
 ///
-/// Each request adds a tenth of a token, each retry takes a whole one, so that
-/// retries add at capacity a tenth to the load however many targets fail.
+/// Each first attempt adds a tenth of a token and each retry takes a whole one, so that retries add at
+/// most a tenth to the load however many targets fail.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tenths: u32,
-    capacity: u32,
+    max_tenths: u32,
 }
 
 impl Default for RetryBudget {
@@ -19,36 +19,35 @@
 }
 
 impl RetryBudget {
-    /// Tenths of a token that a retry costs.
-    const COST: u32 = 10;
+    const TENTHS_PER_RETRY: u32 = 10;
 
-    /// A full bucket that holds `tokens` retries.
+    /// Creates a full bucket for `tokens` retries.
     #[must_use]
     pub const fn new(tokens: u32) -> Self {
-        let capacity = tokens * Self::COST;
-        Self { tenths: capacity, capacity }
+        let max_tenths = tokens * Self::TENTHS_PER_RETRY;
+        Self { tenths: max_tenths, max_tenths }
     }
 
-    /// Notes a first try.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self) {
-        self.tenths = (self.tenths + 1).min(self.capacity);
+        self.tenths = (self.tenths + 1).min(self.max_tenths);
     }
 
-    /// Takes a token for a retry, if there is one.
+    /// Takes a token for a retry. Returns whether one was available.
     pub fn try_take(&mut self) -> bool {
-        let Some(rest) = self.tenths.checked_sub(Self::COST) else {
+        let Some(remaining) = self.tenths.checked_sub(Self::TENTHS_PER_RETRY) else {
             return false;
         };
-        self.tenths = rest;
+        self.tenths = remaining;
         true
     }
 }
 
-/// How long to wait before try number `attempt` (from 1): doubling, with full jitter.
+/// Delay before attempt number `attempt`, counted from 1: exponential with full jitter.
 #[must_use]
 pub fn backoff(attempt: u32, rng: &mut fastrand::Rng) -> Duration {
-    const FIRST_MS: u64 = 4;
-    const MOST_MS: u64 = 64;
-    let ceiling = (FIRST_MS << attempt.min(8)).min(MOST_MS);
+    const BASE_MS: u64 = 4;
+    const MAX_MS: u64 = 64;
+    let ceiling = (BASE_MS << attempt.min(8)).min(MAX_MS);
     Duration::from_millis(rng.u64(1..=ceiling))
 }
