--- a/crates/nickellead_route/src/table.rs
+++ b/crates/nickellead_route/src/table.rs
@@ -1,4 +1,4 @@
-//! From service and key to target and epoch.
+//! Routing table from service and key to target and epoch.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,111 +10,112 @@
 };
 use nickellead_lease::{RouteChange, ShardOwner};
 
-/// A target as the request path needs it.
+/// Properties of a target that the request path uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRoute {
-    /// The target.
+    /// Hash of the target's name.
     pub key: TargetKey,
     /// Name of the target.
     pub name: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Requests it runs side by side, for all VMs together.
+    /// Requests that it runs concurrently, for all VMs together.
     pub slots: u16,
-    /// Connections it takes, from all VMs together.
+    /// Connections that it accepts from all VMs together.
     pub connections: u16,
 }
 
-/// Where requests for a shard go, with the target's place in the arena.
+/// Owner of a shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OwnerRoute {
     /// No target owns it.
     #[default]
     Unowned,
-    /// A new owner is on its way.
+    /// The shard moves to a new owner.
     Moving,
-    /// This target owns it.
+    /// A target owns it.
     Target {
-        /// Place in [`RoutingTable::target`].
+        /// Index for [`RoutingTable::target`].
         index: u32,
         /// The epoch that requests must carry.
         epoch: Epoch,
     },
 }
 
-/// What the table says of one request's key.
+/// Routing decision for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteDecision {
-    /// The key's shard.
+    /// Shard of the key.
     pub shard: ShardIndex,
-    /// Where it goes.
+    /// Owner of the shard.
     pub owner: OwnerRoute,
 }
 
-/// A service as the request path needs it.
+/// Declaration and shard owners of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceRoute {
     /// Name of the service.
     pub name: Name,
     /// Version of its declaration.
     pub version: Version,
-    /// What is declared.
+    /// Declared properties.
     pub spec: ServiceSpec,
-    count: ShardCount,
+    shard_count: ShardCount,
     owners: Vec<OwnerRoute>,
 }
 
 impl ServiceRoute {
-    /// The decision for a key.
+    /// Looks up the owner of a key.
     // PERF: one hash, one multiplication and one load; no allocation.
     #[must_use]
     pub fn decide(&self, key: &[u8]) -> RouteDecision {
-        let shard = shard_of(key, self.count);
+        let shard = shard_of(key, self.shard_count);
         let owner = self.owners.get(shard.0 as usize).copied().unwrap_or_default();
         RouteDecision { shard, owner }
     }
 }
 
-/// What one request worker routes by.
+/// Routing table of one request worker.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     services: HashMap<ServiceKey, ServiceRoute>,
     targets: Vec<Rc<TargetRoute>>,
     target_indices: HashMap<TargetKey, u32>,
-    /// Owners that named a target before its declaration arrived.
+    /// Owner changes that arrived before the declaration of their service or target.
     pending_owners: HashMap<(ServiceKey, ShardIndex), ShardOwner>,
     revision: Version,
 }
 
 impl RoutingTable {
-    /// The service of this name.
+    /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<(ServiceKey, &ServiceRoute)> {
         let key = ServiceKey(xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
         self.services.get(&key).map(|service| (key, service))
     }
 
-    /// The service of this key.
+    /// Finds a service by the hash of its name.
     #[must_use]
     pub fn service_by_key(&self, key: ServiceKey) -> Option<&ServiceRoute> {
         self.services.get(&key)
     }
 
-    /// The target at a place that an [`OwnerRoute`] names.
+    /// Target at the index of an [`OwnerRoute::Target`].
     #[must_use]
     pub fn target(&self, index: u32) -> Option<&Rc<TargetRoute>> {
         self.targets.get(index as usize)
     }
 
-    /// The revision of the declarations in force here.
+    /// Revision of the applied declarations.
     #[must_use]
     pub const fn revision(&self) -> Version {
         self.revision
     }
 
-    /// Takes over declarations, unless they are older than those in force.
+    /// Applies declarations unless they are older than the applied ones. Returns whether they were
+    /// applied.
     ///
-    /// Places of targets never change, so that a request under way keeps its own.
+    /// Indices of targets never change, so that they stay valid for requests in flight.
     pub fn apply_config(&mut self, config: &DeclaredConfig) -> bool {
         if config.revision < self.revision {
             return false;
@@ -134,14 +135,14 @@
         for service in &config.services {
             self.upsert_service(service);
         }
-        let early = std::mem::take(&mut self.pending_owners);
-        for ((service, shard), owner) in early {
+        let pending = std::mem::take(&mut self.pending_owners);
+        for ((service, shard), owner) in pending {
             self.apply_change(RouteChange { service, shard, owner });
         }
         true
     }
 
-    /// Takes over one shard's owner.
+    /// Applies a change of one shard's owner.
     pub fn apply_change(&mut self, change: RouteChange) {
         let owner = match change.owner {
             ShardOwner::Nobody => Some(OwnerRoute::Unowned),
@@ -152,11 +153,11 @@
             }
         };
         let service = self.services.get_mut(&change.service);
-        let cell = service.and_then(|service| service.owners.get_mut(change.shard.0 as usize));
-        match (cell, owner) {
-            (Some(cell), Some(owner)) => *cell = owner,
-            (Some(cell), None) => {
-                *cell = OwnerRoute::Moving;
+        let entry = service.and_then(|service| service.owners.get_mut(change.shard.0 as usize));
+        match (entry, owner) {
+            (Some(entry), Some(owner)) => *entry = owner,
+            (Some(entry), None) => {
+                *entry = OwnerRoute::Moving;
                 self.pending_owners.insert((change.service, change.shard), change.owner);
             }
             (None, _) => {
@@ -176,16 +177,16 @@
     }
 
     fn upsert_service(&mut self, declared: &DeclaredService) {
-        let count = declared.spec.shard_count();
-        let fresh = || ServiceRoute {
+        let shard_count = declared.spec.shard_count();
+        let new_route = || ServiceRoute {
             name: declared.name.clone(),
             version: declared.version,
             spec: declared.spec.clone(),
-            count,
-            owners: vec![OwnerRoute::Unowned; count.get() as usize],
+            shard_count,
+            owners: vec![OwnerRoute::Unowned; shard_count.get() as usize],
         };
         let key = ServiceKey::from(&declared.name);
-        let service = self.services.entry(key).or_insert_with(fresh);
+        let service = self.services.entry(key).or_insert_with(new_route);
         service.version = declared.version;
         service.spec = declared.spec.clone();
     }
