--- a/crates/nickellead_route/src/zone_table.rs
+++ b/crates/nickellead_route/src/zone_table.rs
@@ -1,44 +1,44 @@
-//! What a VM knows of the owners in one zone.
+//! Owners of the shards in one zone, as known to a VM.
 
 use std::collections::BTreeMap;
 
 use nickellead_core::{ServiceKey, ShardIndex, TargetKey, Term, Version, ZoneKey};
 use nickellead_lease::{RouteChange, ShardOwner, ZoneDelta, ZoneLog};
 
-/// What became of a delta.
+/// Result of applying a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaOutcome {
-    /// It was taken over.
+    /// The delta was applied.
     Applied,
-    /// It was older than what is known, or said nothing new.
+    /// The delta is not newer than the known version.
     Stale,
-    /// Changes before it are missing: the whole table is needed.
+    /// Changes before the delta are missing, so the full table is needed.
     Gap,
 }
 
-/// How many shards of a service are in which state in one zone.
+/// Number of a service's shards in one zone by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnerCounts {
-    /// Shards that a target owns.
+    /// Shards with an owner.
     pub served: u32,
-    /// Shards whose new owner is on its way.
+    /// Shards that move to a new owner.
     pub moving: u32,
-    /// Shards that nobody owns.
+    /// Shards without an owner.
     pub unowned: u32,
 }
 
-/// A zone's owners, counted.
+/// Counts of a zone's shards by service and by target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneSummary {
-    /// Term and version that were counted.
+    /// Term and version that the counts are based on.
     pub known: Option<(Term, Version)>,
     /// Shards of each service.
     pub services: BTreeMap<ServiceKey, OwnerCounts>,
-    /// Shards that each target owns.
+    /// Number of shards that each target owns.
     pub targets: BTreeMap<TargetKey, u32>,
 }
 
-/// The owners in one zone, as of one term and version.
+/// Shard owners in one zone as of one term and version.
 #[derive(Clone, Debug)]
 pub struct ZoneTable {
     zone: ZoneKey,
@@ -47,19 +47,19 @@
 }
 
 impl ZoneTable {
-    /// A zone of which nothing is known.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(zone: ZoneKey) -> Self {
         Self { zone, owners: BTreeMap::new(), log: ZoneLog::default() }
     }
 
-    /// Term and version known; `None` before the first delta.
+    /// Known term and version; `None` before the first delta.
     #[must_use]
     pub fn known(&self) -> Option<(Term, Version)> {
         (self.log.term > Term::ZERO).then_some((self.log.term, self.log.version))
     }
 
-    /// Takes over a delta, unless it is older than what is known.
+    /// Applies a delta if it is newer than the known version and no changes before it are missing.
     pub fn apply(&mut self, delta: &ZoneDelta) -> DeltaOutcome {
         let known = (self.log.term, self.log.version);
         if (delta.term, delta.version) <= known {
@@ -68,7 +68,7 @@
         match delta.base {
             None => self.replace(delta),
             Some(base) if (delta.term, base) == known => {
-                delta.changes.iter().for_each(|change| self.change(*change));
+                delta.changes.iter().for_each(|change| self.apply_change(*change));
             }
             Some(_) => return DeltaOutcome::Gap,
         }
@@ -77,7 +77,9 @@
         DeltaOutcome::Applied
     }
 
-    /// What a VM that knows `known` is missing; `None` when it is up to date.
+    /// Delta for a VM that knows version `known`; `None` if that VM is up to date.
+    ///
+    /// The delta contains the full table if the changes since `known` are no longer logged.
     #[must_use]
     pub fn delta_since(&self, known: Option<(Term, Version)>) -> Option<ZoneDelta> {
         let current = self.known()?;
@@ -91,11 +93,11 @@
             term: current.0,
             base,
             version: current.1,
-            changes: changes.unwrap_or_else(|| self.all()),
+            changes: changes.unwrap_or_else(|| self.all_owners()),
         })
     }
 
-    /// Counts the owners.
+    /// Counts shards by state and by owner.
     #[must_use]
     pub fn summary(&self) -> ZoneSummary {
         let mut summary = ZoneSummary { known: self.known(), ..ZoneSummary::default() };
@@ -123,12 +125,12 @@
         }
     }
 
-    fn change(&mut self, change: RouteChange) {
+    fn apply_change(&mut self, change: RouteChange) {
         self.owners.entry(change.service).or_default().insert(change.shard, change.owner);
         self.log.push(change);
     }
 
-    fn all(&self) -> Vec<RouteChange> {
+    fn all_owners(&self) -> Vec<RouteChange> {
         let mut changes = Vec::new();
         for (service, owners) in &self.owners {
             let change = |(shard, owner): (&ShardIndex, &ShardOwner)| RouteChange {
