--- a/crates/nickellead_route/tests/tables.rs
+++ b/crates/nickellead_route/tests/tables.rs
@@ -1,4 +1,4 @@
-//! An older version never replaces a newer one, whoever sends it.
+//! Guards against an older version that replaces a newer one, and against retries beyond their budget.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_core::{Epoch, ServiceKey, ShardIndex, TargetKey, Term, Version, ZoneKey};
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn deltas_apply_in_order_and_gaps_and_old_ones_do_not() {
+fn deltas_apply_in_order_while_gaps_and_stale_deltas_are_rejected() {
     let mut table = ZoneTable::new(ZONE);
-    let whole = delta(2, None, vec![change(0, 1), change(1, 1)]);
-    assert_eq!(table.apply(&whole), DeltaOutcome::Applied);
-    assert_eq!(table.apply(&whole), DeltaOutcome::Stale);
+    let full = delta(2, None, vec![change(0, 1), change(1, 1)]);
+    assert_eq!(table.apply(&full), DeltaOutcome::Applied);
+    assert_eq!(table.apply(&full), DeltaOutcome::Stale);
     assert_eq!(table.apply(&delta(2, Some(12), vec![change(0, 3)])), DeltaOutcome::Gap);
     assert_eq!(table.apply(&delta(2, Some(10), vec![change(0, 2)])), DeltaOutcome::Applied);
     assert_eq!(table.apply(&delta(1, Some(50), vec![change(0, 9)])), DeltaOutcome::Stale);
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_follower_gets_what_it_misses_or_the_whole_table() {
+fn a_subscriber_gets_the_missing_changes_or_the_full_table() {
     let mut table = ZoneTable::new(ZONE);
     table.apply(&delta(2, None, vec![change(0, 1), change(1, 1)]));
     table.apply(&delta(2, Some(10), vec![change(0, 2)]));
-    let missed = table.delta_since(Some((Term(2), Version(10)))).unwrap();
-    assert_eq!((missed.base, missed.changes), (Some(Version(10)), vec![change(0, 2)]));
-    let whole = table.delta_since(Some((Term(1), Version(900)))).unwrap();
-    assert_eq!((whole.base, whole.changes), (None, vec![change(0, 2), change(1, 1)]));
+    let missing = table.delta_since(Some((Term(2), Version(10)))).unwrap();
+    assert_eq!((missing.base, missing.changes), (Some(Version(10)), vec![change(0, 2)]));
+    let full = table.delta_since(Some((Term(1), Version(900)))).unwrap();
+    assert_eq!((full.base, full.changes), (None, vec![change(0, 2), change(1, 1)]));
     assert_eq!(table.delta_since(table.known()), None);
 }
 
@@ -58,7 +58,7 @@
         budget.record_request();
         retries += u32::from(budget.try_take());
     }
-    assert_eq!(retries, 0, "a bucket of no size gives nothing");
+    assert_eq!(retries, 0, "an empty bucket allows no retry");
     let mut budget = RetryBudget::new(10);
     for _ in 0..1_000 {
         budget.record_request();
