--- a/crates/nickellead_time/src/lib.rs
+++ b/crates/nickellead_time/src/lib.rs
@@ -1,8 +1,7 @@
-//! The clock that counts suspended time, and the one timer service.
+//! A clock that includes suspended time, and a timer service.
 //!
-//! Parts of a process subscribe to the [`TimerService`] and get a tick into
-//! their own ring; nothing else in a process sleeps or reads a clock for its
-//! decisions.
+//! Components of a process subscribe to the [`TimerService`] and receive periodic ticks with the
+//! current time, on which they base their decisions instead of reading a clock.
 
 mod clock;
 mod timer;
