--- a/crates/nickellead_time/src/clock.rs
+++ b/crates/nickellead_time/src/clock.rs
@@ -1,14 +1,14 @@
-//! Reading the time.
+//! Clock of the machine.
 
 use nickellead_core::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The machine's clock since boot, which goes on while the machine is suspended.
+/// Clock that counts the time since boot, including time during which the machine was suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
 impl BootClock {
-    /// The time now.
+    /// Current time in milliseconds since boot.
     #[must_use]
     pub fn now(self) -> Timestamp {
         let time = clock_gettime(ClockId::Boottime);
@@ -16,7 +16,7 @@
         Timestamp(millis)
     }
 
-    /// The time now in microseconds; comparable between processes of one machine.
+    /// Current time in microseconds since boot; comparable between processes on the same machine.
     #[must_use]
     pub fn micros(self) -> u64 {
         let time = clock_gettime(ClockId::Boottime);
