--- a/crates/nickellead_time/src/timer.rs
+++ b/crates/nickellead_time/src/timer.rs
@@ -1,4 +1,4 @@
-//! One thread that ticks for every part of a process.
+//! Timer thread that sends ticks to all subscribers in a process.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::thread::JoinHandle;
@@ -8,11 +8,11 @@
 
 use crate::BootClock;
 
-/// Where a subscriber wants its ticks; answers `false` when it is gone.
+/// Receives the ticks of one subscriber. Returns `false` to cancel the subscription.
 pub type TickSink = Box<dyn Fn(Timestamp) -> bool + Send>;
 
-/// Most subscribers that may wait to be added.
-const SUBSCRIBE_RING: usize = 32;
+/// Maximum number of subscriptions that wait to be added.
+const SUBSCRIBE_QUEUE_CAPACITY: usize = 32;
 
 struct Subscription {
     period: Duration,
@@ -20,9 +20,9 @@
     sink: TickSink,
 }
 
-/// The timer of one process: parts subscribe with a period and get ticks.
+/// Timer that sends a tick to each subscriber once per period.
 ///
-/// A subscriber that lags loses ticks; ticks are never queued up for it.
+/// The ticks of a slow subscriber are skipped and not queued.
 #[derive(Debug)]
 pub struct TimerService {
     sender: SyncSender<(Duration, TickSink)>,
@@ -33,21 +33,21 @@
     /// Starts the timer's thread.
     ///
     /// # Errors
-    /// Returns the system's error when it refuses a thread.
+    /// Returns the error of the operating system if the thread can't be started.
     pub fn start() -> std::io::Result<Self> {
-        let (sender, receiver) = sync_channel(SUBSCRIBE_RING);
+        let (sender, receiver) = sync_channel(SUBSCRIBE_QUEUE_CAPACITY);
         let thread =
             std::thread::Builder::new().name("timer".to_owned()).spawn(move || run(&receiver))?;
         Ok(Self { sender, thread })
     }
 
-    /// Asks for a tick every `period`.
+    /// Subscribes to a tick every `period`.
     pub fn subscribe(&self, period: Duration, sink: TickSink) {
-        // The timer's thread lives as long as the service, so a failed send means shutdown.
+        // The thread lives as long as the service, so a failed send can only occur during shutdown.
         let _ = self.sender.send((period, sink));
     }
 
-    /// Ends the timer's thread once its current wait is over.
+    /// Stops the timer's thread and waits until it has ended.
     pub fn stop(self) {
         drop(self.sender);
         let _ = self.thread.join();
@@ -58,7 +58,7 @@
     let clock = BootClock;
     let mut subscriptions: Vec<Subscription> = Vec::new();
     loop {
-        match receiver.recv_timeout(wait_length(&subscriptions, clock.now())) {
+        match receiver.recv_timeout(time_to_next_tick(&subscriptions, clock.now())) {
             Ok((period, sink)) => {
                 let due = clock.now() + period;
                 subscriptions.push(Subscription { period, due, sink });
@@ -70,11 +70,11 @@
     }
 }
 
-/// How long until the next tick is due; a second when nobody subscribed.
-fn wait_length(subscriptions: &[Subscription], now: Timestamp) -> Duration {
-    const IDLE: Duration = Duration::from_secs(1);
+/// Time until the next tick is due; one second without subscriptions.
+fn time_to_next_tick(subscriptions: &[Subscription], now: Timestamp) -> Duration {
+    const IDLE_INTERVAL: Duration = Duration::from_secs(1);
     let next = subscriptions.iter().map(|subscription| subscription.due).min();
-    next.map_or(IDLE, |due| due.since(now))
+    next.map_or(IDLE_INTERVAL, |due| due.since(now))
 }
 
 fn fire(subscriptions: &mut Vec<Subscription>, now: Timestamp) {
