--- a/crates/nickellead_chart/src/lib.rs
+++ b/crates/nickellead_chart/src/lib.rs
@@ -1,9 +1,8 @@
-//! State charts in JSON files, checked at load and interpreted.
+//! State charts that are loaded from JSON files, validated and interpreted.
 //!
-//! A chart names its states, its events and the transitions between them. The
-//! code that uses it names the same states and events in two enums; loading
-//! fails when the two differ, when a state can't be reached, or when an event
-//! in some state is neither taken nor listed as ignored.
+//! A chart declares states, events and transitions. The code that uses the chart declares the same
+//! states and events as two enums. Loading fails if the file and the enums differ, if a state is
+//! unreachable, or if a state neither handles nor explicitly ignores an event.
 //!
 //! ```
 //! use nickellead_chart::{Chart, ChartSymbol};
@@ -34,7 +33,7 @@
 pub use chart::{Chart, ChartSymbol};
 pub use source::ChartError;
 
-/// Declares an enum of chart states or events with their names in the file.
+/// Declares an enum of chart states or events with their names in the chart's file.
 #[macro_export]
 macro_rules! chart_symbol {
     ($(#[$doc:meta])* $name:ident { $($(#[$item_doc:meta])* $item:ident = $text:literal,)* }) => {
@@ -53,7 +52,7 @@
         }
 
         impl $name {
-            /// The name of this symbol in the chart's file.
+            /// Name of this symbol in the chart's file.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self {
