--- a/crates/nickellead_chart/src/chart.rs
+++ b/crates/nickellead_chart/src/chart.rs
@@ -1,19 +1,19 @@
-//! A loaded chart: a table from state and event to the next state.
+//! Transition table of a loaded state chart.
 
 use std::marker::PhantomData;
 
 use crate::source::{ChartError, ChartSource};
 
-/// A state or an event that a chart's file names.
+/// A state or an event of a chart.
 pub trait ChartSymbol: Copy + 'static {
-    /// Every symbol with its name in the file, in the order of [`ChartSymbol::index`].
+    /// All symbols with their names in the file, in the order of [`ChartSymbol::index`].
     const ALL: &'static [(Self, &'static str)];
 
-    /// Place of this symbol in [`ChartSymbol::ALL`].
+    /// Index of this symbol in [`ChartSymbol::ALL`].
     fn index(self) -> usize;
 }
 
-/// A checked chart over states `S` and events `E`.
+/// A validated chart with states `S` and events `E`.
 #[derive(Debug)]
 pub struct Chart<S, E> {
     initial: S,
@@ -22,10 +22,10 @@
 }
 
 impl<S: ChartSymbol, E: ChartSymbol> Chart<S, E> {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
-    /// Returns a [`ChartError`] that names the state or event at fault.
+    /// Returns a [`ChartError`] with the invalid state or event.
     pub fn load(text: &str) -> Result<Self, ChartError> {
         let source: ChartSource = serde_json::from_str(text)?;
         check_states::<S>(&source)?;
@@ -43,19 +43,19 @@
         Ok(chart)
     }
 
-    /// The state in which a life begins.
+    /// State in which the chart starts.
     #[must_use]
     pub const fn initial(&self) -> S {
         self.initial
     }
 
-    /// The state after `event`, or `None` when the state ignores it.
+    /// State that follows `state` after `event`; `None` if `state` ignores the event.
     #[must_use]
     pub fn next(&self, state: S, event: E) -> Option<S> {
         self.table[cell::<E>(state.index(), event.index())]
     }
 
-    /// Moves `state` on by `event`; tells whether it changed.
+    /// Updates `state` for `event`. Returns `false` if the state ignores the event.
     pub fn advance(&self, state: &mut S, event: E) -> bool {
         match self.next(*state, event) {
             Some(next) => {
