--- a/crates/nickellead_chart/src/source.rs
+++ b/crates/nickellead_chart/src/source.rs
@@ -1,11 +1,11 @@
-//! The JSON form of a chart, and what can be wrong with it.
+//! JSON format of a chart and the errors of loading it.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A chart as it stands in its file.
+/// Content of a chart's file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChartSource {
@@ -14,32 +14,32 @@
     pub(crate) states: BTreeMap<String, StateSource>,
 }
 
-/// One state of a chart's file.
+/// One state in a chart's file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct StateSource {
-    /// Event to next state.
+    /// Next state by event.
     pub(crate) on: BTreeMap<String, String>,
-    /// Events that leave the state as it is.
+    /// Events that do not change the state.
     pub(crate) ignore: Vec<String>,
 }
 
-/// Why a chart can't be used.
+/// Error of loading a chart.
 #[derive(Debug, Error)]
 pub enum ChartError {
-    /// The text is no JSON of the right form.
-    #[error("chart can't be read: {0}")]
+    /// The text is not valid JSON of a chart.
+    #[error("chart can't be parsed: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// The file and the code name different states.
-    #[error("chart {chart}: state {state:?} stands in only one of file and code")]
+    /// The file and the code declare different states.
+    #[error("chart {chart}: state {state:?} is not declared in both the file and the code")]
     UnknownState {
         /// The chart's name.
         chart: String,
         /// The state's name.
         state: String,
     },
-    /// The file names an event that the code does not have.
-    #[error("chart {chart}: event {event:?} of state {state:?} is not in the code")]
+    /// The file contains an event that the code does not declare.
+    #[error("chart {chart}: event {event:?} of state {state:?} is not declared in the code")]
     UnknownEvent {
         /// The chart's name.
         chart: String,
@@ -48,8 +48,8 @@
         /// The event's name.
         event: String,
     },
-    /// A state neither takes nor ignores an event, or does both.
-    #[error("chart {chart}: state {state:?} must either take or ignore event {event:?}")]
+    /// A state neither handles nor ignores an event, or does both.
+    #[error("chart {chart}: state {state:?} must either handle or ignore event {event:?}")]
     UnhandledEvent {
         /// The chart's name.
         chart: String,
@@ -58,8 +58,8 @@
         /// The event's name.
         event: String,
     },
-    /// No path leads from the initial state to a state.
-    #[error("chart {chart}: no path leads to state {state:?}")]
+    /// A state is unreachable from the initial state.
+    #[error("chart {chart}: state {state:?} is unreachable from the initial state")]
     UnreachableState {
         /// The chart's name.
         chart: String,
