--- a/crates/nickellead_chart/tests/faults.rs
+++ b/crates/nickellead_chart/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault of a chart is found when it is loaded.
+//! Guards against invalid charts that load without an error.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_chart::{Chart, ChartError, chart_symbol};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_good_chart_is_interpreted() {
+fn a_valid_chart_is_interpreted() {
     let chart = load(
         r#"{"name": "lamp", "initial": "off", "states": {
             "off": {"on": {"press": "on"}}, "on": {"on": {"press": "off"}}}}"#,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn faults_are_told_apart() {
+fn each_kind_of_fault_gives_its_own_error() {
     let unknown_state = r#"{"name": "lamp", "initial": "off", "states": {
         "off": {"on": {"press": "dim"}}, "on": {"ignore": ["press"]}}}"#;
     assert!(matches!(load(unknown_state), Err(ChartError::UnknownState { .. })));
