--- a/examples/charts/01_session_life.rs
+++ b/examples/charts/01_session_life.rs
@@ -1,4 +1,4 @@
-//! State charts are data: the life of a session, as its file in `assets/charts` says.
+//! Plays events through the state chart of a session, which is loaded from `assets/charts`.
 //!
 //! `cargo run --example 01_session_life`
 #![allow(clippy::print_stdout)]
@@ -19,7 +19,7 @@
     ];
     for event in events {
         let changed = chart.advance(&mut phase, event);
-        let word = if changed { "leads to" } else { "is ignored in" };
-        println!("{} {word} {}", event.as_str(), phase.as_str());
+        let effect = if changed { "leads to" } else { "is ignored in" };
+        println!("{} {effect} {}", event.as_str(), phase.as_str());
     }
 }
