--- a/examples/routing/01_zone_deltas.rs
+++ b/examples/routing/01_zone_deltas.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of a zone's owners: deltas in order, never an older version.
+//! Applies deltas to a zone's table of owners, which rejects gaps and older versions.
 //!
 //! `cargo run --example 01_zone_deltas`
 #![allow(clippy::print_stdout)]
@@ -21,10 +21,10 @@
 
 fn main() {
     let mut table = ZoneTable::new(ZoneKey(1));
-    println!("the whole table:        {:?}", table.apply(&delta(1, None, 4, 1)));
-    println!("the next change:        {:?}", table.apply(&delta(1, Some(4), 5, 2)));
-    println!("a change after a gap:   {:?}", table.apply(&delta(1, Some(9), 10, 3)));
-    println!("a new coordinator:      {:?}", table.apply(&delta(2, None, 1, 3)));
-    println!("the former coordinator: {:?}", table.apply(&delta(1, Some(5), 6, 9)));
+    println!("full table:           {:?}", table.apply(&delta(1, None, 4, 1)));
+    println!("next change:          {:?}", table.apply(&delta(1, Some(4), 5, 2)));
+    println!("change after a gap:   {:?}", table.apply(&delta(1, Some(9), 10, 3)));
+    println!("new coordinator:      {:?}", table.apply(&delta(2, None, 1, 3)));
+    println!("previous coordinator: {:?}", table.apply(&delta(1, Some(5), 6, 9)));
     println!("known: {:?}", table.known());
 }
