--- a/crates/nickellead_balance/src/signals.rs
+++ b/crates/nickellead_balance/src/signals.rs
@@ -1,9 +1,9 @@
 //! Signals that one instance of a target sends about itself on its responses.
 //!
 //! A target reports on its responses that it is leaving, that it requests a pause, or that it limits
-//! the request rate. A signal applies at once to the VM that receives it and for the life of the
-//! target's instance, whatever a list of targets says: lists are updated later, and not at all while
-//! the store is unavailable.
+//! the request rate. The VM that receives a signal follows it at once and for as long as the instance
+//! runs, whatever a list of targets says: lists are updated later, and not at all while the store is
+//! unavailable.
 
 use std::time::Duration;
 
