--- a/crates/nickellead_gateway/src/lib.rs
+++ b/crates/nickellead_gateway/src/lib.rs
@@ -1,13 +1,11 @@
-//! The gateway of one VM: routes by host and path, targets chosen or owned, and the control duty.
+//! The gateway of one VM: routing by host and path, target selection, and the control loop.
 //!
-//! [`start_gateway`] builds two duties, each on its own thread. The request
-//! duty answers callers from what it believes. The control duty follows the
-//! platform's store, tells the request duty what changed and, on the VM that
-//! holds the mandate, sees to it that every range of keys has one owner. They
-//! are joined by watched values of which only the newest counts.
+//! [`start_gateway`] starts two threads. The request thread serves callers from cached state. The
+//! control thread watches the platform's store, publishes changes to the request thread and, on the
+//! VM that holds the mandate (leader lease), assigns each range of keys to one owner. The threads are
+//! connected by watch channels, which keep only the latest value.
 //!
-//! Whatever the platform calls these things is translated behind the traits
-//! of the `port` module.
+//! The traits of the `port` module translate the platform's terms.
 
 mod admission;
 mod book;
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! Building one gateway VM out of its duties, and stopping it.
+//! Starting, reloading and stopping the gateway of one VM.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -18,63 +18,62 @@
 use crate::state_channels::state_channels;
 use crate::{GatewaySettings, HeaderNames, OrderPort, StorePort};
 
-/// Part of the grace time during which a stopping VM goes on taking connections in any case.
+/// Fraction of the grace time during which a stopping VM still accepts connections.
 ///
-/// The entry asks for readiness once a second and believes the second miss.
-const LINGER_PART: f64 = 0.5;
-/// Part of the grace time during which it serves connections that callers keep open.
-const SERVE_PART: f64 = 0.84;
-/// Part of the grace time after which a request that has no answer is told so: the rest is for the
-/// bytes of these answers to leave, also from a VM with a tenth of a core and a full link.
-const ANSWER_PART: f64 = 0.92;
-/// Part of the grace time after which the process ends in any case.
-const END_PART: f64 = 0.97;
-/// Part of the drain time for which a target that said that it leaves is sent requests that nobody else
+/// The load balancer in front checks readiness once a second and removes a VM after two failures.
+const LINGER_FRACTION: f64 = 0.5;
+/// Fraction of the grace time during which a stopping VM serves connections that callers keep open.
+const SERVE_FRACTION: f64 = 0.84;
+/// Fraction of the grace time after which unfinished requests get an error response.
+///
+/// The remaining time is for sending these responses, also with little CPU and a saturated link.
+const RESPONSE_FRACTION: f64 = 0.92;
+/// Fraction of the grace time after which the process exits regardless of open requests.
+const EXIT_FRACTION: f64 = 0.97;
+/// Fraction of the drain time during which a leaving target still gets requests that no other target
 /// can serve.
 ///
-/// Its keys are with another owner after 0.2 s where the holder of the mandate is told itself, after 0.7 s
-/// where another VM tells it, and after 1.2 s where only an answer to an order does, in tests with two
-/// VMs. The rest of the time is for what is under way to the target.
-const LEAVING_STAY_PART: f64 = 0.5;
-/// Between two looks at whether callers have left.
-const LOOK: Duration = Duration::from_millis(50);
-/// Between two looks whether a thread has ended.
-const THREAD_LOOK: Duration = Duration::from_millis(10);
+/// Its keys move to other owners within this window. The remaining time is for requests in flight.
+const LEAVING_WINDOW_FRACTION: f64 = 0.5;
+/// Interval between two checks whether callers have closed their connections.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two checks whether a thread has ended.
+const THREAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a VM can't start.
+/// Why a gateway failed to start.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// An address can't be listened on.
-    #[error("{field} {address} can't be listened on: {reason}")]
+    /// Binding a listener failed.
+    #[error("cannot listen on {field} {address}: {reason}")]
     Address {
-        /// The setting at fault.
+        /// Name of the setting.
         field: &'static str,
-        /// The address.
+        /// Its value.
         address: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         reason: std::io::Error,
     },
-    /// The system refused a thread.
-    #[error("a thread can't be started: {0}")]
+    /// Spawning a thread failed.
+    #[error("cannot spawn a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// A running gateway VM.
+/// Handle of a running gateway; dropping it does not stop the gateway.
 pub struct GatewayHandle {
     settings: GatewaySettings,
-    state: Arc<ServeState>,
+    serve_state: Arc<ServeState>,
     drain: Arc<DrainState>,
     stopping: watch::Sender<bool>,
     requests: JoinHandle<()>,
     control: JoinHandle<()>,
 }
 
-/// Starts both duties of one VM.
+/// Starts the request thread and the control thread of one VM.
 ///
-/// `ports` makes the store and the orders on the control duty's own thread.
+/// `ports` runs on the control thread and creates the clients of the store and of orders.
 ///
 /// # Errors
-/// A [`GatewayError`]; nothing is left running that serves callers.
+/// [`GatewayError`] if a listener or thread can't be created; no caller is served then.
 pub fn start_gateway<S, O>(
     settings: GatewaySettings,
     names: HeaderNames,
@@ -86,8 +85,8 @@
 {
     let sockets = NodeSockets::bind(&settings)?;
     let (senders, receivers) = state_channels();
-    let keys = LoadCounter::default();
-    let state = Arc::new(ServeState::default());
+    let load_counter = LoadCounter::default();
+    let serve_state = Arc::new(ServeState::default());
     let drain = Arc::new(DrainState::default());
     let (stopping, stopped) = watch::channel(false);
     let incarnation = control::draw_number();
@@ -102,15 +101,15 @@
         readiness: sockets.readiness,
         metrics: sockets.metrics,
         control_metrics: metrics.clone(),
-        receivers: receivers,
-        keys: keys.clone(),
-        serve_state: Arc::clone(&state),
+        receivers,
+        load_counter: load_counter.clone(),
+        serve_state: Arc::clone(&serve_state),
         drain: Arc::clone(&drain),
         policy: settings.policy,
         cold: settings.cold,
-        leaving_window: Duration::from_secs_f64(settings.drain_s * LEAVING_STAY_PART),
+        leaving_window: Duration::from_secs_f64(settings.drain_s * LEAVING_WINDOW_FRACTION),
     })?;
-    let parts = ControlParts {
+    let context = ControlParts {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         announced_address: settings.announced_address(),
@@ -119,20 +118,20 @@
         incarnation,
         ownership: settings.ownership,
         beliefs: senders,
-        keys,
+        keys: load_counter,
         metrics,
         policy: settings.policy,
         cold: settings.cold,
         follows_evacuations: settings.evacuation_s.is_some(),
     };
-    let control = control::start(parts, sockets.peers, stopped, ports)?;
+    let control = control::start(context, sockets.peers, stopped, ports)?;
     let pairs: [(&str, &dyn std::fmt::Display); 3] =
         [("vm", &settings.vm), ("zone", &settings.zone), ("incarnation", &incarnation)];
     log_event(EventName::NodeStarted, &pairs);
-    Ok(GatewayHandle { settings, state, drain, stopping, requests, control })
+    Ok(GatewayHandle { settings, serve_state, drain, stopping, requests, control })
 }
 
-/// The sockets that one VM listens on.
+/// Listeners of one VM.
 struct NodeSockets {
     callers: TcpListener,
     readiness: TcpListener,
@@ -158,13 +157,13 @@
 }
 
 impl GatewayHandle {
-    /// Takes over settings that were read again.
+    /// Applies settings that were read again.
     ///
-    /// The grace time counts at once; addresses and names stay as they were at
-    /// the start, for callers and the store know the process by them.
+    /// The grace time takes effect at once. Addresses and names stay as they were at the start, because
+    /// callers and the store identify the process by them.
     pub fn reload(&mut self, settings: GatewaySettings) {
         let same = self.settings == settings;
-        let moved = self.settings.callers_address != settings.callers_address
+        let needs_restart = self.settings.callers_address != settings.callers_address
             || self.settings.readiness_address != settings.readiness_address
             || self.settings.peers_address != settings.peers_address
             || self.settings.peers_announced != settings.peers_announced
@@ -173,55 +172,56 @@
             || self.settings.vm != settings.vm
             || self.settings.zone != settings.zone;
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
-            [("vm", &self.settings.vm), ("same", &same), ("needs_restart", &moved)];
+            [("vm", &self.settings.vm), ("same", &same), ("needs_restart", &needs_restart)];
         log_event(EventName::SettingsReloaded, &pairs);
         self.settings = settings;
     }
 
-    /// Stops as planned: not ready, mandate given back, requests finished.
+    /// Shuts down gracefully: reports not ready, releases the mandate and finishes open requests.
     ///
-    /// Returns whether every request ended before the grace time did.
+    /// Returns whether all requests finished within the grace time.
     pub fn stop(self) -> bool {
         let started = Instant::now();
-        let part = |part: f64| Duration::from_secs_f64(self.settings.grace_s * part);
+        let grace_fraction =
+            |fraction: f64| Duration::from_secs_f64(self.settings.grace_s * fraction);
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
-        let end = started + part(END_PART);
-        self.drain.start(started + part(ANSWER_PART));
-        self.state.drain();
+        let end = started + grace_fraction(EXIT_FRACTION);
+        self.drain.start(started + grace_fraction(RESPONSE_FRACTION));
+        self.serve_state.drain();
         self.stopping.send_replace(true);
-        std::thread::sleep(part(LINGER_PART));
-        while self.state.open() > 0 && started.elapsed() < part(SERVE_PART) {
-            std::thread::sleep(LOOK);
+        std::thread::sleep(grace_fraction(LINGER_FRACTION));
+        while self.serve_state.open() > 0 && started.elapsed() < grace_fraction(SERVE_FRACTION) {
+            std::thread::sleep(CALLER_POLL_INTERVAL);
         }
-        let (running, waiting) = (self.state.running(), self.state.waiting());
-        self.state.stop();
+        let (running, waiting) = (self.serve_state.running(), self.serve_state.waiting());
+        self.serve_state.stop();
         let finished = join_until(self.requests, end);
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
             ("vm", &self.settings.vm),
             ("requests_running", &running),
             ("answers_waiting", &waiting),
-            ("requests_cut", &self.state.running()),
-            ("answers_cut", &self.state.waiting()),
+            ("requests_cut", &self.serve_state.running()),
+            ("answers_cut", &self.serve_state.waiting()),
         ];
         log_event(EventName::NodeDrained, &pairs);
-        let handed_over = join_until(self.control, end);
+        let mandate_settled = join_until(self.control, end);
         let pairs: [(&str, &dyn std::fmt::Display); 3] = [
             ("vm", &self.settings.vm),
             ("requests_finished", &finished),
-            ("mandate_settled", &handed_over),
+            ("mandate_settled", &mandate_settled),
         ];
         log_event(EventName::NodeStopped, &pairs);
         finished
     }
 }
 
-/// Waits for a thread until `end`; tells whether it ended without a panic.
+/// Waits for a thread until `end`; returns whether it ended in time and without a panic.
 fn join_until(thread: JoinHandle<()>, end: Instant) -> bool {
     while !thread.is_finished() {
         if Instant::now() >= end {
             return false;
         }
-        std::thread::sleep(THREAD_LOOK);
+        std::thread::sleep(THREAD_POLL_INTERVAL);
     }
     thread.join().is_ok()
 }
--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -1,4 +1,4 @@
-//! The request duty: its thread, its listener for callers, and the readiness answers.
+//! The request thread: serves callers, readiness checks and metrics.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -20,12 +20,12 @@
 
 /// Most connections to the readiness and metrics address.
 const READINESS_CONNECTIONS: usize = 64;
-/// Between two looks whether the last requests have ended.
-const END_LOOK: Duration = Duration::from_millis(10);
-/// Connections that have answered close within this time, before the runtime ends.
-const FLUSH_TIME: Duration = Duration::from_millis(50);
+/// Interval between two checks whether the last requests have finished.
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for finished connections to close before the runtime ends.
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// What the request duty is built from.
+/// Dependencies and settings of the request thread.
 pub(crate) struct RequestContext {
     pub(crate) names: HeaderNames,
     pub(crate) vm: String,
@@ -37,7 +37,7 @@
     pub(crate) metrics: Option<TcpListener>,
     pub(crate) control_metrics: ControlMetrics,
     pub(crate) receivers: StateReceivers,
-    pub(crate) keys: LoadCounter,
+    pub(crate) load_counter: LoadCounter,
     pub(crate) serve_state: Arc<ServeState>,
     pub(crate) drain: Arc<DrainState>,
     pub(crate) policy: PolicySettings,
@@ -45,40 +45,40 @@
     pub(crate) leaving_window: Duration,
 }
 
-/// Starts the thread.
+/// Starts the request thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
-pub(crate) fn start(parts: RequestContext) -> std::io::Result<JoinHandle<()>> {
+/// The operating system's error if the thread can't be spawned.
+pub(crate) fn start(context: RequestContext) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("requests".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
-            runtime.block_on(run(parts));
+            runtime.block_on(run(context));
         }
     })
 }
 
-async fn run(parts: RequestContext) {
+async fn run(context: RequestContext) {
     let mut registry = Registry::with_prefix("nickellead");
     let metrics = GatewayMetrics::register(&mut registry);
-    parts.control_metrics.register(&mut registry);
+    context.control_metrics.register(&mut registry);
     let registry = Rc::new(registry);
     let worker = RequestWorker::new(WorkerParts {
-        names: parts.names,
-        vm: parts.vm,
-        zone: parts.zone,
-        retry_burst: parts.retry_burst,
-        keys: parts.keys,
-        drain: Arc::clone(&parts.drain),
+        names: context.names,
+        vm: context.vm,
+        zone: context.zone,
+        retry_burst: context.retry_burst,
+        keys: context.load_counter,
+        drain: Arc::clone(&context.drain),
         metrics,
-        policy: parts.policy,
-        cold: parts.cold,
-        leaving_stay: parts.leaving_window,
+        policy: context.policy,
+        cold: context.cold,
+        leaving_stay: context.leaving_window,
     });
-    follow_beliefs(&worker, &parts.receivers);
-    for listener in std::iter::once(parts.readiness).chain(parts.metrics) {
-        serve_readiness(listener, &worker, &registry, parts.receivers.clone(), &parts.drain);
+    forward_state(&worker, &context.receivers);
+    for listener in std::iter::once(context.readiness).chain(context.metrics) {
+        serve_readiness(listener, &worker, &registry, context.receivers.clone(), &context.drain);
     }
-    let state = Arc::clone(&parts.serve_state);
+    let state = Arc::clone(&context.serve_state);
     let handler = move |request| {
         let worker = Rc::clone(&worker);
         let stopping = state.is_stopping();
@@ -89,44 +89,46 @@
             }
         }
     };
-    serve_http(parts.callers, parts.connections, Arc::clone(&parts.serve_state), handler).await;
-    wait_for_answers(&parts.serve_state).await;
-    tokio::time::sleep(FLUSH_TIME).await;
-    // Requests that came meanwhile were refused; their refusals may wait for room as well.
-    wait_for_answers(&parts.serve_state).await;
+    serve_http(context.callers, context.connections, Arc::clone(&context.serve_state), handler)
+        .await;
+    wait_for_responses(&context.serve_state).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
+    // Requests that arrived meanwhile were refused; their responses may still be buffered.
+    wait_for_responses(&context.serve_state).await;
 }
 
-/// Waits until every request has its answer, and all bytes of answers are the system's.
+/// Waits until every request has a response and the operating system has taken all response bytes.
 ///
-/// The process ends without it at the end of the grace time.
-async fn wait_for_answers(state: &ServeState) {
+/// There is no timeout: the process exits at the end of the grace time anyway.
+async fn wait_for_responses(state: &ServeState) {
     while state.running() + state.waiting() > 0 {
-        tokio::time::sleep(END_LOOK).await;
+        tokio::time::sleep(FINISH_POLL_INTERVAL).await;
     }
 }
 
-/// Answers questions for readiness and metrics for as long as the runtime lives.
+/// Serves readiness checks and metrics for as long as the runtime lives.
 fn serve_readiness(
     listener: TcpListener,
     worker: &Rc<RequestWorker>,
     registry: &Rc<Registry>,
-    beliefs: StateReceivers,
+    receivers: StateReceivers,
     drain: &Arc<DrainState>,
 ) {
     let (worker, registry, drain) = (Rc::clone(worker), Rc::clone(registry), Arc::clone(drain));
     let handler = move |request: Request| {
-        let known = beliefs.declarations.borrow().is_some() && !beliefs.targets.borrow().is_empty();
-        let ready = known && !drain.is_draining();
-        let response = answer_readiness(&request, ready, &registry, &worker);
+        let has_state =
+            receivers.declarations.borrow().is_some() && !receivers.targets.borrow().is_empty();
+        let ready = has_state && !drain.is_draining();
+        let response = readiness_response(&request, ready, &registry, &worker);
         async move { response }
     };
     let state = Arc::new(ServeState::default());
     actix_rt::spawn(serve_http(listener, READINESS_CONNECTIONS, state, handler));
 }
 
-/// Hands each new belief to the worker as it comes.
-fn follow_beliefs(worker: &Rc<RequestWorker>, beliefs: &StateReceivers) {
-    let (updated, mut declarations) = (Rc::clone(worker), beliefs.declarations.clone());
+/// Forwards each state change to the worker.
+fn forward_state(worker: &Rc<RequestWorker>, receivers: &StateReceivers) {
+    let (updated, mut declarations) = (Rc::clone(worker), receivers.declarations.clone());
     actix_rt::spawn(async move {
         while declarations.changed().await.is_ok() {
             let newest = declarations.borrow_and_update().clone();
@@ -135,37 +137,37 @@
             }
         }
     });
-    let (updated, mut targets) = (Rc::clone(worker), beliefs.targets.clone());
+    let (updated, mut targets) = (Rc::clone(worker), receivers.targets.clone());
     actix_rt::spawn(async move {
         while targets.changed().await.is_ok() {
             let newest = Arc::clone(&targets.borrow_and_update());
             updated.set_targets(newest);
         }
     });
-    let (updated, mut evacuations) = (Rc::clone(worker), beliefs.evacuations.clone());
+    let (updated, mut evacuations) = (Rc::clone(worker), receivers.evacuations.clone());
     actix_rt::spawn(async move {
         while evacuations.changed().await.is_ok() {
             let newest = Arc::clone(&evacuations.borrow_and_update());
             updated.set_evacuations(&newest);
         }
     });
-    let (updated, mut fleet) = (Rc::clone(worker), beliefs.fleet.clone());
+    let (updated, mut fleet) = (Rc::clone(worker), receivers.fleet.clone());
     actix_rt::spawn(async move {
         while fleet.changed().await.is_ok() {
             let newest = Arc::clone(&fleet.borrow_and_update());
             updated.set_fleet(newest);
         }
     });
-    let warmed = Rc::clone(worker);
-    actix_rt::spawn(async move { warmed.take_in_warmed().await });
-    let (updated, mut ranges) = (Rc::clone(worker), beliefs.ranges.clone());
+    let updated = Rc::clone(worker);
+    actix_rt::spawn(async move { updated.take_in_warmed().await });
+    let (updated, mut ranges) = (Rc::clone(worker), receivers.ranges.clone());
     actix_rt::spawn(async move {
         while ranges.changed().await.is_ok() {
             let newest = Arc::clone(&ranges.borrow_and_update());
             updated.set_ranges(newest);
         }
     });
-    let (updated, mut admissions) = (Rc::clone(worker), beliefs.admissions.clone());
+    let (updated, mut admissions) = (Rc::clone(worker), receivers.admissions.clone());
     actix_rt::spawn(async move {
         while admissions.changed().await.is_ok() {
             let newest = Arc::clone(&admissions.borrow_and_update());
@@ -174,7 +176,7 @@
     });
 }
 
-fn answer_readiness(
+fn readiness_response(
     request: &Request,
     ready: bool,
     registry: &Registry,
