--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -59,7 +59,8 @@
     let id = HeaderName::from_static(names.request_id);
     let request_id = headers.get(&id).cloned().ok_or(ErrorKind::RequestMalformed)?;
     let deadline = number(&headers, names.deadline_ms)?.map(Duration::from_millis);
-    let age = deadline.map_or(Duration::ZERO, |left| route.wait_tolerance.observe_remaining(left));
+    let age = deadline
+        .map_or(Duration::ZERO, |left| route.wait_tolerance.observe_remaining(left));
     let until = arrived + deadline.unwrap_or(route.rule.timeout).min(route.rule.timeout);
     let key = number(&headers, names.shard_key)?.map(u16::try_from).transpose();
     let key = key.map_err(|_| ErrorKind::RequestMalformed)?;
--- a/crates/nickellead_gateway/src/target_registry.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -1,4 +1,6 @@
-//! The targets of each service as the request path uses them.
+//! The registry of targets that the request path selects from.
+//!
+//! It is rebuilt for each new target list; statistics of targets that leaving_window are kept.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -22,42 +24,39 @@
 use crate::targets::instance_of;
 use crate::{ColdRule, ColdSettings, ServiceRule, TargetEntry, TargetList, TargetState};
 
-/// What an unknown target is taken to need for an answer, until it has shown it.
-const USUAL_LATENCY: Duration = Duration::from_millis(80);
+/// Latency that is assumed for a target until responses have been measured.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(80);
 
-/// Requests that may be under way at a target of which nothing is known: all VMs begin at the same
-/// time, and ten times this many fill a target's slots and queue.
-const LIMIT_START: u32 = 2;
+/// Initial concurrency limit of a target: low, because all VMs may discover a new target at once.
+const INITIAL_CONCURRENCY_LIMIT: u32 = 2;
 
-/// This VM never has more requests under way at a target than this many times its slots.
-const LIMIT_FACTOR: u32 = 4;
+/// Upper bound of the concurrency limit, as a multiple of the target's slots.
+const MAX_REQUESTS_PER_SLOT: u32 = 4;
 
-/// Members of a service in this VM's own zone that it sends requests to.
+/// Most targets of a service in this VM's own zone that are in its subset.
 ///
-/// A VM that spread its requests over hundreds of targets would use no connection twice before the
-/// target closes it.
-const NEAR_MEMBERS: usize = 8;
-/// The same for members of other zones, for when the near ones are full.
-const FAR_MEMBERS: usize = 4;
-/// The least members of either kind, however many VMs there are.
-const MEMBERS_LEAST: usize = 2;
-
-/// How long a target that refused this VM a connection is left out while others are there: nobody listens
-/// at its address, and its entry goes after three heartbeats, some three seconds.
-const DOWN_TIME: Duration = Duration::from_millis(2_500);
-
-/// Most lives that are not listed and told something of themselves; beyond it all are forgotten.
+/// Requests that are spread over too many targets can't reuse idle connections before they time out.
+const MAX_NEAR_TARGETS: usize = 8;
+/// Most targets of other zones in the subset, which serve when the near ones are at capacity.
+const MAX_FAR_TARGETS: usize = 4;
+/// Fewest targets of either kind in a subset, however many VMs share the service.
+const MIN_TARGETS: usize = 2;
+
+/// How long a target is avoided after it refused a connection, if other targets are available.
 ///
-/// A fleet of a thousand targets that is replaced once an hour leaves as many in four hours.
-const UNLISTED_MOST: usize = 4_096;
+/// The entry of a crashed target expires after about the same time.
+const DOWN_WINDOW: Duration = Duration::from_millis(2_500);
 
-/// Targets of one zone that may have fallen at the same moment; more are rather cut off.
-const FALLEN_MOST: usize = 3;
+/// Most instances without an entry whose signals are kept; beyond it all of these are dropped.
+const MAX_UNLISTED: usize = 4_096;
 
-/// Kept by all who ask one life of a target, and beyond the time that it is listed.
+/// Most targets of one zone that count as crashed at the same time; more suggest a network partition.
+const MAX_CRASHED_PER_ZONE: usize = 3;
+
+/// Signals of one target instance, shared by its requests and kept for a while after it is unlisted.
 pub(crate) type SharedSignals = Rc<Cell<TargetSignals>>;
 
-/// One target with what this VM has learned of it.
+/// One instance of a target, with the state and statistics that this VM keeps about it.
 pub(crate) struct RegisteredTarget {
     pub(crate) id: String,
     pub(crate) born: Option<u64>,
@@ -65,77 +64,76 @@
     pub(crate) zone: String,
     pub(crate) slots: u32,
     pub(crate) state: Cell<TargetState>,
-    /// What its entry last said of how much longer it is cold.
+    /// Remaining cold time that its entry last stated.
     listed_cold: Cell<Duration>,
-    /// What its targets bear while they are cold.
+    /// The service's limit for cold targets; `None` if there is none.
     cold_rule: Cell<Option<ColdRule>>,
     pub(crate) cold_limiter: ColdLimiter,
-    /// Whether it owns keys.
+    /// Whether its service is sharded, so that it may own keys.
     sharded: Cell<bool>,
-    /// Until when it is left out because it refused a connection.
+    /// Until when it is avoided because it refused a connection.
     down_until: Cell<Timestamp>,
-    /// What it told this VM of itself.
+    /// Signals that this VM received from it.
     pub(crate) signals: SharedSignals,
-    /// What the mandate's holder told of its limit.
+    /// Its rate limit as announced by the mandate instance.
     reported_limit: Cell<ReportedLimit>,
-    /// This VM's part of its limit.
+    /// Enforces this VM's share of its rate limit.
     rate_limiter: RateLimiter,
-    /// VMs that share its limit, this one included; 0 while they are not known.
+    /// Number of VMs that share its rate limit, including this one; 0 while unknown.
     sharing_vms: Cell<usize>,
     pub(crate) score: RefCell<TargetScore>,
     pub(crate) concurrency_limit: Cell<AdaptiveLimit>,
-    /// Requests that wait for this very target.
+    /// Requests that can only be served by this target.
     pub(crate) wait_queue: WaitQueue,
     pub(crate) pool: SharedPool,
 }
 
-/// Members by what they told this VM of themselves.
+/// Number of listed targets by active signal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SignalCounts {
-    /// They leave.
     pub(crate) leaving: i64,
-    /// They want nothing now.
     pub(crate) paused: i64,
-    /// They name a limit.
     pub(crate) limited: i64,
 }
 
-/// Requests under way at a member, counted also when their future is dropped.
+/// Counts a request as in flight at a target until it is dropped.
 ///
-/// Its end wakes a request that waits for the target, and one that waits for any of the service.
+/// The drop wakes one request that waits for the target and one that waits for any target of its
+/// service.
 pub(crate) struct InFlightGuard(Rc<RegisteredTarget>, Rc<WaitQueue>);
 
 impl RegisteredTarget {
-    /// Whether one more request may be sent now.
+    /// Whether the concurrency limit allows one more request.
     pub(crate) fn has_capacity(&self) -> bool {
         self.concurrency_limit.get().has_capacity(self.score.borrow().in_flight)
     }
 
-    /// Whether a request may be sent now, by what the target bears and told of itself; `stay` as in
+    /// Whether the target's signals, cold limit and rate limit allow a request now; `leaving_window` as in
     /// [`TargetSignals::may_send`].
-    pub(crate) fn may_send(&self, stay: Duration, now: Timestamp) -> bool {
-        self.signals.get().may_send(stay, now)
+    pub(crate) fn may_send(&self, leaving_window: Duration, now: Timestamp) -> bool {
+        self.signals.get().may_send(leaving_window, now)
             && self.cold_limiter.may_send(now)
             && self.rate_allows(now)
     }
 
-    /// Whether its limit has room for one more request of this VM.
+    /// Whether this VM's share of the rate limit allows one more request.
     pub(crate) fn rate_allows(&self, now: Timestamp) -> bool {
         let limit = self.signals.get().effective_limit(self.reported_limit.get(), now);
         self.rate_limiter.set_limit(limit, self.sharing_vms.get(), now);
         self.rate_limiter.may_send(now)
     }
 
-    /// Whether this VM or the mandate's holder was told a limit of it that may still count.
+    /// Whether this VM or the mandate instance knows a rate limit of it that may still be active.
     pub(crate) fn may_be_limited(&self) -> bool {
-        let told = matches!(self.reported_limit.get(), ReportedLimit::Limited(_));
-        told || self.signals.get().limit().is_some()
+        let is_announced = matches!(self.reported_limit.get(), ReportedLimit::Limited(_));
+        is_announced || self.signals.get().limit().is_some()
     }
 
-    /// Counts a request that is sent now, if it may be: asked when its connection is there, as others may
-    /// have been sent meanwhile, and the target may have told something.
-    pub(crate) fn try_take_token(&self, stay: Duration, now: Timestamp) -> bool {
-        let may_send = self.may_send(stay, now);
+    /// Takes a token of the cold limit and the rate limit if a request may be sent now.
+    ///
+    /// Called once the connection is established, because the limits may have changed meanwhile.
+    pub(crate) fn try_take_token(&self, leaving_window: Duration, now: Timestamp) -> bool {
+        let may_send = self.may_send(leaving_window, now);
         if may_send {
             self.cold_limiter.record_sent(now);
             self.rate_limiter.record_sent(now);
@@ -143,87 +141,86 @@
         may_send
     }
 
-    /// Gives back what a request took that was not sent after all.
+    /// Returns the tokens of a request that was not sent.
     pub(crate) fn return_token(&self, now: Timestamp) {
         self.cold_limiter.refund(now);
         self.rate_limiter.refund(now);
     }
 
-    /// Whether it said that it leaves.
+    /// Whether it signalled that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.signals.get().leaving_since().is_some()
     }
 
-    /// This life of it.
+    /// The identity of this instance.
     pub(crate) fn instance(&self) -> TargetInstance {
         instance_of(&self.id, self.born, self.address)
     }
 
-    /// Whether it refused this VM a connection a moment ago.
+    /// Whether it refused a connection of this VM within the last [`DOWN_WINDOW`].
     pub(crate) fn is_down(&self, now: Timestamp) -> bool {
         now < self.down_until.get()
     }
 
-    /// Learns that nobody listens at its address.
     fn mark_down(&self, now: Timestamp) {
-        self.down_until.set(now + DOWN_TIME);
+        self.down_until.set(now + DOWN_WINDOW);
     }
 
-    /// Reckons with it being cold until then.
+    /// Extends the time that it counts as cold.
     fn expect_cold(&self, until: Timestamp, now: Timestamp) {
         if self.cold_limiter.cold_until() < until {
             self.cold_limiter.set_cold_until(until, now);
         }
     }
 
-    /// Takes over its entry as it is listed now.
+    /// Applies its entry of the current list.
     fn update_from_entry(&self, entry: &TargetEntry, now: Timestamp) {
         self.state.set(entry.state);
-        // An old entry's time does not begin again with each list.
+        // An unchanged entry must not restart the cold time with each list.
         if self.listed_cold.replace(entry.cold_left) != entry.cold_left {
             self.cold_limiter.set_cold_until(now + entry.cold_left, now);
             self.down_until.set(Timestamp::ZERO);
         }
     }
 
-    /// Learns how a try ended.
+    /// Updates its score with the outcome of an attempt.
     pub(crate) fn record_outcome(&self, outcome: TargetOutcome, now: Timestamp) {
         self.score.borrow_mut().record(outcome, now);
     }
 
-    /// Learns that the target took no more: it refused a request or broke a connection.
+    /// Lowers the concurrency limit after it refused a request or broke a connection.
     pub(crate) fn record_refusal(&self) {
         let mut limit = self.concurrency_limit.get();
         limit.record_refusal();
         self.concurrency_limit.set(limit);
     }
 
-    /// Learns that the target answered after `length` while this many requests were under way.
+    /// Adjusts the concurrency limit to a response's latency with `running` requests in flight.
     pub(crate) fn record_latency(
         &self,
         running: u32,
-        length: Duration,
-        goal: Duration,
+        latency: Duration,
+        latency_target: Duration,
         now: Timestamp,
     ) {
         let unhurried = Duration::from_secs_f64(self.score.borrow().baseline_ms() / 1_000.0);
         let mut limit = self.concurrency_limit.get();
-        limit.record_response(running, length, unhurried, goal, now);
+        limit.record_response(running, latency, unhurried, latency_target, now);
         self.concurrency_limit.set(limit);
     }
 
-    /// Learns that a request has been under way for a whole latency target.
-    pub(crate) fn record_overdue(&self, goal: Duration, now: Timestamp) {
+    /// Adjusts the concurrency limit to a request that exceeded its latency target.
+    pub(crate) fn record_overdue(&self, latency_target: Duration, now: Timestamp) {
         let mut limit = self.concurrency_limit.get();
-        limit.record_overdue(goal, now);
+        limit.record_overdue(latency_target, now);
         self.concurrency_limit.set(limit);
     }
 }
 
 impl InFlightGuard {
-    pub(crate) fn new(member: &Rc<RegisteredTarget>, service: &Rc<WaitQueue>) -> Self {
-        member.score.borrow_mut().in_flight += 1;
-        Self(Rc::clone(member), Rc::clone(service))
+    pub(crate) fn new(target: &Rc<RegisteredTarget>, service: &Rc<WaitQueue>) -> Self {
+        target.score.borrow_mut().in_flight += 1;
+        Self(Rc::clone(target), Rc::clone(service))
     }
 }
 
@@ -238,7 +235,7 @@
     }
 }
 
-/// What decides which targets get requests, beside their entries.
+/// What determines how targets are used, beside their entries.
 pub(crate) struct RegistryRules<'a> {
     pub(crate) services: &'a BTreeMap<String, ServiceRule>,
     pub(crate) cold_settings: Option<ColdSettings>,
@@ -247,24 +244,23 @@
 }
 
 impl RegistryRules<'_> {
-    /// What the targets of a service bear while they are cold, if that is bounded.
+    /// The limit for cold targets of a service, if cold limits are enabled.
     fn cold_rule(&self, service: &str) -> Option<ColdRule> {
         self.cold_settings.and(self.services.get(service)?.cold)
     }
 
-    /// Whether each key of a service has one owner.
     fn is_sharded(&self, service: &str) -> bool {
         self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 
-    /// This VM's share of what a target bears while it is cold.
+    /// This VM's share of a cold target's limit.
     fn cold_share(&self, vm: VmId, entry: &TargetEntry) -> ColdQuota {
         let (Some(bounds), Some(rule)) = (self.cold_settings, self.cold_rule(&entry.service))
         else {
             return ColdQuota::Unlimited;
         };
-        let most = rule.rate * bounds.overage + bounds.slack;
-        let bound = ColdBounds { rate: rule.rate, max_in_one_second: most };
+        let max = rule.rate * bounds.overage + bounds.slack;
+        let bound = ColdBounds { rate: rule.rate, max_in_one_second: max };
         if self.is_sharded(&entry.service) {
             return ColdQuota::equal_share(bound, self.fleet.vms.len());
         }
@@ -275,214 +271,213 @@
     }
 }
 
-/// All members by service and by identity.
+/// All listed targets by service and by identity.
 #[derive(Default)]
 pub(crate) struct TargetRegistry {
     vm: String,
     zone: String,
     by_id: HashMap<String, Rc<RegisteredTarget>>,
     by_service: HashMap<String, Vec<Rc<RegisteredTarget>>>,
-    /// What lives told of themselves that are not listed now: they may be listed once more.
+    /// Signals of instances that are not listed now but may be listed again.
     unlisted_signals: HashMap<TargetInstance, SharedSignals>,
-    /// This VM's part of each service.
+    /// This VM's subset of each service.
     subsets: HashMap<String, Vec<Rc<RegisteredTarget>>>,
-    /// Services of which this VM's part is smaller than it would be on a small fleet.
+    /// Services whose subset is smaller than it would be in a small fleet.
     partitioned: HashSet<String>,
 }
 
 impl TargetRegistry {
-    /// A roster without members.
+    /// A registry without targets.
     pub(crate) fn new(vm: String, zone: String) -> Self {
         Self { vm, zone, ..Self::default() }
     }
 
-    /// The roster of a new list; members that stay keep what was learned.
+    /// The registry for a new list; instances that leaving_window keep their statistics.
     pub(crate) fn rebuild(&self, list: &TargetList, rules: &RegistryRules<'_>) -> Self {
         let now = BootClock.now();
-        let mark = VmId::new(&self.vm, &self.zone);
-        let sharers = rules.fleet.count_including(mark);
-        let mut roster = Self::new(self.vm.clone(), self.zone.clone());
+        let vm = VmId::new(&self.vm, &self.zone);
+        let sharing_vms = rules.fleet.count_including(vm);
+        let mut registry = Self::new(self.vm.clone(), self.zone.clone());
         for entry in list.values() {
-            let member = self.target_for_entry(entry, now);
-            member.cold_rule.set(rules.cold_rule(&entry.service));
-            member.sharded.set(rules.is_sharded(&entry.service));
-            member.cold_limiter.set_quota(rules.cold_share(mark, entry), now);
-            member.sharing_vms.set(sharers);
+            let target = self.target_for_entry(entry, now);
+            target.cold_rule.set(rules.cold_rule(&entry.service));
+            target.sharded.set(rules.is_sharded(&entry.service));
+            target.cold_limiter.set_quota(rules.cold_share(vm, entry), now);
+            target.sharing_vms.set(sharing_vms);
             if let (Some(rule), Some(returned)) =
-                (member.cold_rule.get(), rules.zones.returned_at(&entry.zone))
+                (target.cold_rule.get(), rules.zones.returned_at(&entry.zone))
             {
-                member.expect_cold(returned + rule.duration, now);
+                target.expect_cold(returned + rule.duration, now);
             }
-            roster.by_id.insert(entry.id.clone(), Rc::clone(&member));
+            registry.by_id.insert(entry.id.clone(), Rc::clone(&target));
             if rules.zones.is_evacuated(&entry.zone) {
-                member.pool.clear();
+                target.pool.clear();
             } else if entry.state == TargetState::Ready {
-                roster.by_service.entry(entry.service.clone()).or_default().push(member);
+                registry.by_service.entry(entry.service.clone()).or_default().push(target);
             }
         }
-        for (service, members) in &roster.by_service {
-            let subset = choose_subset(mark, &roster.zone, members, rules.fleet, now);
-            let near = members.iter().filter(|member| member.zone == roster.zone).count();
-            let usual = near.min(NEAR_MEMBERS) + (members.len() - near).min(FAR_MEMBERS);
+        for (service, targets) in &registry.by_service {
+            let subset = choose_subset(vm, &registry.zone, targets, rules.fleet, now);
+            let near = targets.iter().filter(|target| target.zone == registry.zone).count();
+            let usual = near.min(MAX_NEAR_TARGETS) + (targets.len() - near).min(MAX_FAR_TARGETS);
             if subset.len() < usual {
-                roster.partitioned.insert(service.clone());
+                registry.partitioned.insert(service.clone());
             }
-            roster.subsets.insert(service.clone(), subset);
+            registry.subsets.insert(service.clone(), subset);
         }
-        roster.unlisted_signals = self.unlisted_signals.clone();
-        for (id, member) in &self.by_id {
-            if !roster.by_id.get(id).is_some_and(|kept| Rc::ptr_eq(kept, member)) {
-                member.pool.clear();
-                roster.unlisted_signals.insert(member.instance(), Rc::clone(&member.signals));
+        registry.unlisted_signals = self.unlisted_signals.clone();
+        for (id, target) in &self.by_id {
+            if !registry.by_id.get(id).is_some_and(|kept| Rc::ptr_eq(kept, target)) {
+                target.pool.clear();
+                registry.unlisted_signals.insert(target.instance(), Rc::clone(&target.signals));
             }
         }
-        roster.unlisted_signals.retain(|_, signs| signs.get().has_active_signal(now));
-        if roster.unlisted_signals.len() > UNLISTED_MOST {
-            roster.unlisted_signals.clear();
+        registry.unlisted_signals.retain(|_, signals| signals.get().has_active_signal(now));
+        if registry.unlisted_signals.len() > MAX_UNLISTED {
+            registry.unlisted_signals.clear();
         }
-        roster
+        registry
     }
 
-    /// The member of an entry; another life of a target is another member.
+    /// The registered target of an entry, which is created unless this very instance is known.
     fn target_for_entry(&self, entry: &TargetEntry, now: Timestamp) -> Rc<RegisteredTarget> {
         let rank = VmId::new(&self.vm, &self.zone).rank(&entry.id);
         let known = self.by_id.get(&entry.id);
         match known.filter(|one| one.address == entry.address && one.born == entry.born) {
-            Some(member) => {
-                member.update_from_entry(entry, now);
-                Rc::clone(member)
+            Some(target) => {
+                target.update_from_entry(entry, now);
+                Rc::clone(target)
             }
             None => {
-                let signs = self.unlisted_signals.get(&entry.instance()).cloned();
-                Rc::new(new_member(entry, signs.unwrap_or_default(), rank, now))
+                let signals = self.unlisted_signals.get(&entry.instance()).cloned();
+                Rc::new(new_target(entry, signals.unwrap_or_default(), rank, now))
             }
         }
     }
 
-    /// When the next target that is bounded while it is cold gets warm.
+    /// When the next target with a cold limit becomes warm.
     pub(crate) fn next_warm(&self, now: Timestamp) -> Option<Timestamp> {
-        let cold = self.by_id.values().filter(|member| member.cold_rule.get().is_some());
-        cold.map(|member| member.cold_limiter.cold_until()).filter(|until| *until > now).min()
+        let cold = self.by_id.values().filter(|target| target.cold_rule.get().is_some());
+        cold.map(|target| target.cold_limiter.cold_until()).filter(|until| *until > now).min()
     }
 
-    /// Whether no target at all is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// The members of a service that take requests.
+    /// The targets of a service that accept requests, in all zones that are not evacuated.
     pub(crate) fn available(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// This VM's part of a service's members.
+    /// This VM's subset of a service's available targets.
     pub(crate) fn subset(&self, service: &str) -> &[Rc<RegisteredTarget>] {
         self.subsets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether VMs are so many for a service that its targets are shared out among them: then a VM whose
-    /// part is full does not go to the others' targets, which would be full as well.
+    /// Whether the fleet is so large that the service's targets are divided among the VMs.
+    ///
+    /// A VM whose subset is at capacity then uses no other targets, as they are at capacity as well.
     pub(crate) fn is_partitioned(&self, service: &str) -> bool {
         self.partitioned.contains(service)
     }
 
-    /// Takes over what the mandate's holder tells of limits.
+    /// Sets the rate limits that the mandate instance announced.
     pub(crate) fn set_reported_limits(&self, table: &AdmissionTable) {
-        for (id, member) in &self.by_id {
-            member.reported_limit.set(table.reported_limit(id, member.born));
+        for (id, target) in &self.by_id {
+            target.reported_limit.set(table.reported_limit(id, target.born));
         }
     }
 
-    /// The member that is this holder of keys, if it takes requests.
-    pub(crate) fn find_instance(&self, holder: &TargetInstance) -> Option<&Rc<RegisteredTarget>> {
-        let member = self.by_id.get(&holder.id)?;
-        let same = member.born == holder.born;
-        (same && member.state.get() == TargetState::Ready).then_some(member)
+    /// The target that is this instance, if it accepts requests.
+    pub(crate) fn find_instance(&self, instance: &TargetInstance) -> Option<&Rc<RegisteredTarget>> {
+        let target = self.by_id.get(&instance.id)?;
+        let same = target.born == instance.born;
+        (same && target.state.get() == TargetState::Ready).then_some(target)
     }
 
-    /// Learns that nobody listens at a member's address: if it has fallen, it is cold once it is back.
+    /// Marks a target as down after a refused connection, and expects it to be cold when it is back.
     ///
-    /// Its entry tells so, but not while it is cut off from the store. Several in one zone at once are
-    /// rather cut off from this VM, and then to reckon with cold ones would leave the zone unused after
-    /// the cut. An owner of keys that starts again holds none until its entry is known.
-    pub(crate) fn mark_down(&self, member: &RegisteredTarget, now: Timestamp) {
-        member.mark_down(now);
-        let Some(rule) = member.cold_rule.get().filter(|_| !member.sharded.get()) else { return };
-        let in_zone = self.by_id.values().filter(|one| one.zone == member.zone);
-        if in_zone.filter(|one| one.is_down(now)).count() <= FALLEN_MOST {
-            member.expect_cold(now + DOWN_TIME + rule.duration, now);
+    /// A restarted target that is partitioned from the store can't publish an entry that says so. If many
+    /// targets of a zone are down, a partition between them and this VM is more likely, and they are not
+    /// expected to be cold. Targets of sharded services own no keys before their new entry is known.
+    pub(crate) fn mark_down(&self, target: &RegisteredTarget, now: Timestamp) {
+        target.mark_down(now);
+        let Some(rule) = target.cold_rule.get().filter(|_| !target.sharded.get()) else { return };
+        let in_zone = self.by_id.values().filter(|one| one.zone == target.zone);
+        if in_zone.filter(|one| one.is_down(now)).count() <= MAX_CRASHED_PER_ZONE {
+            target.expect_cold(now + DOWN_WINDOW + rule.duration, now);
         }
     }
 
-    /// How many members told what still counts.
+    /// Counts the listed targets by active signal.
     pub(crate) fn count_signals(&self, now: Timestamp) -> SignalCounts {
         let mut counts = SignalCounts::default();
-        for signs in self.by_id.values().map(|member| member.signals.get()) {
-            counts.leaving += i64::from(signs.leaving_since().is_some());
-            counts.paused += i64::from(signs.is_paused(now));
-            counts.limited += i64::from(signs.limit().is_some());
+        for signals in self.by_id.values().map(|target| target.signals.get()) {
+            counts.leaving += i64::from(signals.leaving_since().is_some());
+            counts.paused += i64::from(signals.is_paused(now));
+            counts.limited += i64::from(signals.limit().is_some());
         }
         counts
     }
 
-    /// Connections opened to all members.
+    /// Number of connections opened to all listed targets.
     pub(crate) fn opened(&self) -> u64 {
-        self.by_id.values().map(|member| member.pool.opened()).sum()
+        self.by_id.values().map(|target| target.pool.opened()).sum()
     }
 }
 
-/// This VM's part of a service: near and far members, and the cold ones that it helps to warm.
+/// This VM's subset of a service: near and far targets, and the cold ones that it sends requests to.
 fn choose_subset(
     vm: VmId,
     zone: &str,
-    members: &[Rc<RegisteredTarget>],
+    targets: &[Rc<RegisteredTarget>],
     fleet: &FleetTable,
     now: Timestamp,
 ) -> Vec<Rc<RegisteredTarget>> {
-    let is_bounded = |member: &&Rc<RegisteredTarget>| member.cold_limiter.is_limited(now);
-    let (cold, warm): (Vec<_>, Vec<_>) = members.iter().partition(is_bounded);
-    let warmed = cold.into_iter().filter(|member| member.cold_limiter.has_quota());
-    let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|member| member.zone == zone);
-    let near_part = match fleet.index_in_zone(vm) {
-        Some((place, vms)) => even_members(near, place, vms, NEAR_MEMBERS),
-        None => ranked_members(vm, near, NEAR_MEMBERS),
+    let is_bounded = |target: &&Rc<RegisteredTarget>| target.cold_limiter.is_limited(now);
+    let (cold, warm): (Vec<_>, Vec<_>) = targets.iter().partition(is_bounded);
+    let warmed = cold.into_iter().filter(|target| target.cold_limiter.has_quota());
+    let (near, far): (Vec<_>, Vec<_>) = warm.into_iter().partition(|target| target.zone == zone);
+    let near_subset = match fleet.index_in_zone(vm) {
+        Some((index, vms)) => even_targets(near, index, vms, MAX_NEAR_TARGETS),
+        None => ranked_targets(vm, near, MAX_NEAR_TARGETS),
     };
-    let far_part = match fleet.index(vm) {
-        Some((place, vms)) => even_members(far, place, vms, FAR_MEMBERS),
-        None => ranked_members(vm, far, FAR_MEMBERS),
+    let far_subset = match fleet.index(vm) {
+        Some((index, vms)) => even_targets(far, index, vms, MAX_FAR_TARGETS),
+        None => ranked_targets(vm, far, MAX_FAR_TARGETS),
     };
-    near_part.into_iter().chain(far_part).chain(warmed).map(Rc::clone).collect()
+    near_subset.into_iter().chain(far_subset).chain(warmed).map(Rc::clone).collect()
 }
 
-/// An even part of the members for one of `vms` VMs.
-fn even_members(
-    mut members: Vec<&Rc<RegisteredTarget>>,
-    place: usize,
+/// An even subset of the targets for the VM with this index among `vms` VMs.
+fn even_targets(
+    mut targets: Vec<&Rc<RegisteredTarget>>,
+    index: usize,
     vms: usize,
-    most: usize,
+    max: usize,
 ) -> Vec<&Rc<RegisteredTarget>> {
-    members.sort_by_cached_key(|member| xxhash_rust::xxh3::xxh3_64(member.id.as_bytes()));
-    let slots = members.iter().map(|member| member.slots).sum();
-    let size = subset_size(slots, vms, members.len(), MEMBERS_LEAST, most);
-    even_subset(place, vms, members.len(), size).map(|place| members[place]).collect()
+    targets.sort_by_cached_key(|target| xxhash_rust::xxh3::xxh3_64(target.id.as_bytes()));
+    let slots = targets.iter().map(|target| target.slots).sum();
+    let size = subset_size(slots, vms, targets.len(), MIN_TARGETS, max);
+    even_subset(index, vms, targets.len(), size).map(|index| targets[index]).collect()
 }
 
-/// The members with the highest hash of VM and target: a VM that does not know the fleet takes others than
-/// most VMs do, and a member that comes or goes changes few of them.
-fn ranked_members(
+/// The targets that rendezvous hashing assigns to a VM that does not know the fleet.
+fn ranked_targets(
     vm: VmId,
-    mut members: Vec<&Rc<RegisteredTarget>>,
-    most: usize,
+    mut targets: Vec<&Rc<RegisteredTarget>>,
+    max: usize,
 ) -> Vec<&Rc<RegisteredTarget>> {
-    members.sort_by_cached_key(|member| vm.rank(&member.id));
-    members.truncate(most);
-    members
+    targets.sort_by_cached_key(|target| vm.rank(&target.id));
+    targets.truncate(max);
+    targets
 }
 
-/// `rank` is this VM's rank for the target.
-fn new_member(
+/// Creates a target without statistics; `rank` is this VM's rank for it.
+fn new_target(
     entry: &TargetEntry,
-    signs: SharedSignals,
+    signals: SharedSignals,
     rank: u64,
     now: Timestamp,
 ) -> RegisteredTarget {
@@ -499,12 +494,15 @@
         cold_rule: Cell::new(None),
         cold_limiter: ColdLimiter::new(now + entry.cold_left, phase, now),
         down_until: Cell::new(Timestamp::ZERO),
-        signals: signs,
+        signals: signals,
         reported_limit: Cell::default(),
         rate_limiter: RateLimiter::new(rank),
         sharing_vms: Cell::new(0),
-        score: RefCell::new(TargetScore::new(USUAL_LATENCY)),
-        concurrency_limit: Cell::new(AdaptiveLimit::new(LIMIT_START, entry.slots * LIMIT_FACTOR)),
+        score: RefCell::new(TargetScore::new(DEFAULT_LATENCY)),
+        concurrency_limit: Cell::new(AdaptiveLimit::new(
+            INITIAL_CONCURRENCY_LIMIT,
+            entry.slots * MAX_REQUESTS_PER_SLOT,
+        )),
         wait_queue: WaitQueue::default(),
         pool: SharedPool::default(),
     }
