--- a/crates/nickellead_gateway/src/exchange.rs
+++ b/crates/nickellead_gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One try of one request at one target.
+//! One attempt to send one request to one target.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
 use crate::target_registry::RegisteredTarget;
 use crate::{HeaderNames, RepeatClass};
 
-/// Largest body of an answer, in bytes: it is read whole before the caller gets any of it.
-const ANSWER_MAX: usize = 16 * 1024 * 1024;
+/// Most bytes of a response body, which is buffered completely before it is forwarded to the caller.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A request as it is sent, without what differs between tries.
+/// The part of a request that is the same for all attempts.
 pub(crate) struct OutgoingRequest {
     pub(crate) method: http::Method,
     pub(crate) path_and_query: String,
@@ -27,17 +27,17 @@
     pub(crate) request_id: HeaderValue,
 }
 
-/// Where and until when a try is made.
+/// Parameters of one attempt.
 pub(crate) struct AttemptPlan<'a> {
     pub(crate) target: &'a RegisteredTarget,
     pub(crate) repeat: RepeatClass,
-    /// For how long it is sent requests after it said that it leaves.
+    /// How long the target still gets requests after it signalled that it is leaving.
     pub(crate) leaving_window: Duration,
-    /// When the try is given up.
+    /// When the attempt times out.
     pub(crate) deadline: Instant,
 }
 
-/// A whole answer of a target.
+/// A complete response of a target.
 #[derive(Debug)]
 pub(crate) struct TargetResponse {
     pub(crate) status: StatusCode,
@@ -45,47 +45,47 @@
     pub(crate) body: Bytes,
 }
 
-/// How a try ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
-    /// A whole answer that belongs to the request.
+    /// A complete response to this request.
     Responded(TargetResponse),
-    /// The target says it did not run the request.
+    /// The target refused the request without running it.
     Shed,
-    /// The target is another than the asked one, or does not own the key; it did not run it.
+    /// The address belongs to another target, or the target does not own the key; the request did not run.
     Misdirected,
-    /// Nothing was sent: no connection, or it had ended before.
+    /// Nothing was sent, because no connection was available.
     NotSent(ConnectFailure),
-    /// Nothing was sent: while the connection was made, the target told that it wants no more.
+    /// Nothing was sent, because the target's limits or signals changed while connecting.
     Withheld,
-    /// It was sent, and what came back is no answer to it, or nothing came.
+    /// The request was sent, but no valid response arrived; it may have run.
     Lost(LossReason),
 }
 
-/// The end of a try, and what the target told of itself by then.
+/// The result of an attempt, with the signals that the target sent by then.
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
     pub(crate) signals: ResponseSignals,
-    /// When the request was sent last.
+    /// When the request was last sent; zero if it was not sent.
     pub(crate) sent_at: Timestamp,
 }
 
 impl From<AttemptResult> for AttemptEnd {
-    /// The end of a try in which the target told nothing of itself.
+    /// An attempt without signals of the target.
     fn from(result: AttemptResult) -> Self {
         Self { result, signals: ResponseSignals::default(), sent_at: Timestamp::ZERO }
     }
 }
 
-/// Why the outcome of a try is unknown.
+/// Why the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LossReason {
-    /// No whole answer in time.
+    /// No complete response arrived before the deadline.
     Late,
-    /// The connection broke or ended.
+    /// The connection failed or was closed.
     Broken,
-    /// An answer came that belongs to another request or bears no mark of a target.
+    /// The response belongs to another request or was not made by a target.
     Foreign,
 }
 
@@ -99,40 +99,41 @@
     }
 }
 
-/// Sends a request to one target and reads the whole answer.
+/// Sends a request to one target and reads the complete response.
 pub(crate) async fn run_attempt(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
     plan: &AttemptPlan<'_>,
 ) -> AttemptEnd {
-    let left = |until: Instant| until.saturating_duration_since(Instant::now());
+    let remaining = |deadline: Instant| deadline.saturating_duration_since(Instant::now());
     loop {
-        let taking = plan.target.pool.take(plan.target.address, left(plan.deadline), plan.repeat);
-        let mut connection = match taking.await {
+        let acquiring =
+            plan.target.pool.take(plan.target.address, remaining(plan.deadline), plan.repeat);
+        let mut connection = match acquiring.await {
             Ok(connection) => connection,
             Err(failure) => return AttemptResult::NotSent(failure).into(),
         };
-        let started = BootClock.now();
-        if !plan.target.try_take_token(plan.leaving_window, started) {
+        let sent_at = BootClock.now();
+        if !plan.target.try_take_token(plan.leaving_window, sent_at) {
             plan.target.pool.put(connection.sender, None);
             return AttemptResult::Withheld.into();
         }
-        let request = build_request(names, outgoing, plan, left(plan.deadline));
+        let request = build_request(names, outgoing, plan, remaining(plan.deadline));
         let sending = connection.sender.try_send_request(request);
-        let sent = tokio::time::timeout(left(plan.deadline), sending).await;
+        let sent = tokio::time::timeout(remaining(plan.deadline), sending).await;
         match sent {
             Err(_) => return AttemptResult::Lost(LossReason::Late).into(),
             Ok(Ok(response)) => {
-                let (result, signs) =
-                    read_answer(names, outgoing, plan, connection, response).await;
-                return AttemptEnd { result, signals: signs, sent_at: started };
+                let (result, signals) =
+                    read_response(names, outgoing, plan, connection, response).await;
+                return AttemptEnd { result, signals, sent_at };
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
                     return AttemptResult::Lost(LossReason::Broken).into();
                 }
                 plan.target.return_token(BootClock.now());
-                // The connection had ended before a byte left: take another.
+                // The idle connection was already closed and nothing was sent: use another one.
                 if !connection.reused {
                     return AttemptResult::NotSent(ConnectFailure::Broken).into();
                 }
@@ -145,18 +146,18 @@
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
     plan: &AttemptPlan<'_>,
-    left: Duration,
+    remaining: Duration,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
-    // The caller's path was parsed once already; a path that can't be built is sent as the root
-    // and refused by the target, which never happens for a path that passed the first parser.
+    // The caller's path was parsed before, so this does not fail; if it did, the target would refuse
+    // the root path.
     if let Ok(uri) = outgoing.path_and_query.parse() {
         *request.uri_mut() = uri;
     }
     let headers = request.headers_mut();
     *headers = outgoing.headers.clone();
-    let deadline = HeaderValue::from(left.as_millis() as u64);
+    let deadline = HeaderValue::from(remaining.as_millis() as u64);
     headers.insert(HeaderName::from_static(names.deadline_ms), deadline);
     if let Ok(id) = HeaderValue::from_str(&plan.target.id) {
         headers.insert(HeaderName::from_static(names.expected_target), id);
@@ -164,8 +165,8 @@
     request
 }
 
-/// Reads an answer; what its head tells of the target counts also when what follows is lost.
-async fn read_answer(
+/// Reads a response; the signals in its head are kept even if its body is lost.
+async fn read_response(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
     plan: &AttemptPlan<'_>,
@@ -173,28 +174,30 @@
     response: Response<Incoming>,
 ) -> (AttemptResult, ResponseSignals) {
     let (head, body) = response.into_parts();
-    let signs = match is_of_target(names, outgoing, plan, &head) {
+    let signals = match is_from_target(names, outgoing, plan, &head) {
         true => ResponseSignals::read(names, head.status, &head.headers),
         false => ResponseSignals::default(),
     };
     let result = read_body(names, outgoing, plan, connection, head, body).await;
-    (result, signs)
+    (result, signals)
 }
 
-/// Whether the asked target made an answer: another one may have its address by now, and an extra answer
-/// may come in the place of the next one.
-fn is_of_target(
+/// Whether a response was made by the requested target.
+///
+/// Another target may have taken over the address, and a surplus response may arrive on a reused
+/// connection.
+fn is_from_target(
     names: &HeaderNames,
     outgoing: &OutgoingRequest,
     plan: &AttemptPlan<'_>,
     head: &Parts,
 ) -> bool {
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        let answering = head.headers.get(names.answering_target);
-        return answering.is_some_and(|id| id.as_bytes() == plan.target.id.as_bytes());
+        let responding_target = head.headers.get(names.answering_target);
+        return responding_target.is_some_and(|id| id.as_bytes() == plan.target.id.as_bytes());
     }
-    let owned = head.headers.get(names.request_id) == Some(&outgoing.request_id);
-    owned || head.headers.contains_key(names.not_run)
+    let matches_request = head.headers.get(names.request_id) == Some(&outgoing.request_id);
+    matches_request || head.headers.contains_key(names.not_run)
 }
 
 async fn read_body(
@@ -205,20 +208,21 @@
     head: Parts,
     body: Incoming,
 ) -> AttemptResult {
-    let owned = head.headers.get(names.request_id) == Some(&outgoing.request_id);
+    let matches_request = head.headers.get(names.request_id) == Some(&outgoing.request_id);
     let shed = head.headers.contains_key(names.not_run);
     let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-    if !owned && !shed && !misdirected {
+    if !matches_request && !shed && !misdirected {
         return AttemptResult::Lost(LossReason::Foreign);
     }
-    let left = plan.deadline.saturating_duration_since(Instant::now());
-    let collected = tokio::time::timeout(left, Limited::new(body, ANSWER_MAX).collect()).await;
+    let remaining = plan.deadline.saturating_duration_since(Instant::now());
+    let collected =
+        tokio::time::timeout(remaining, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
     let body = match collected {
         Err(_) => return unless_refused(shed, misdirected, LossReason::Late),
         Ok(Err(_)) => return unless_refused(shed, misdirected, LossReason::Broken),
         Ok(Ok(body)) => body.to_bytes(),
     };
-    put_back(&plan.target.pool, connection, &head.headers);
+    return_connection(&plan.target.pool, connection, &head.headers);
     if misdirected {
         return AttemptResult::Misdirected;
     }
@@ -231,7 +235,7 @@
     AttemptResult::Responded(TargetResponse { status: head.status, headers: head.headers, body })
 }
 
-/// A refusal stands even when its body is cut.
+/// A refusal is valid even if its body is truncated.
 fn unless_refused(shed: bool, misdirected: bool, reason: LossReason) -> AttemptResult {
     match (misdirected, shed) {
         (true, _) => AttemptResult::Misdirected,
@@ -240,17 +244,17 @@
     }
 }
 
-fn put_back(pool: &SharedPool, connection: ReadyConnection, headers: &HeaderMap) {
-    let closes = headers.get(http::header::CONNECTION).is_some_and(|value| {
+fn return_connection(pool: &SharedPool, connection: ReadyConnection, headers: &HeaderMap) {
+    let will_close = headers.get(http::header::CONNECTION).is_some_and(|value| {
         value.to_str().is_ok_and(|value| value.to_ascii_lowercase().contains("close"))
     });
-    if !closes {
-        pool.put(connection.sender, kept_for(headers));
+    if !will_close {
+        pool.put(connection.sender, idle_timeout(headers));
     }
 }
 
-/// How long the target keeps an idle connection, from its `Keep-Alive` header.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// The target's idle timeout, from its `Keep-Alive` header.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: route, key, deadline, headers, body.
+//! Parsing a caller's request: route, key, deadline, headers, body.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,70 +14,64 @@
 use crate::route_table::{RouteEntry, RouteTable};
 use crate::{CallerLimits, HeaderNames};
 
-/// A request that has a route.
+/// A parsed request with its route.
 pub(crate) struct IncomingRequest {
     pub(crate) route: Rc<RouteEntry>,
     pub(crate) outgoing: OutgoingRequest,
-    /// The caller's key, if it names one.
+    /// The shard key, if the caller sent one.
     pub(crate) key: Option<u16>,
     pub(crate) arrived_at: Instant,
-    /// How long the caller has been trying before, as far as its deadline shows.
+    /// Time since the caller's first attempt, estimated from its deadline.
     pub(crate) caller_age: Duration,
-    /// When the caller, or the route, stops waiting.
+    /// When the caller or the route times out, whichever is first.
     pub(crate) deadline: Instant,
 }
 
 impl IncomingRequest {
-    /// The service that figures count it under: the first one where the route is split.
+    /// The service that metrics attribute the request to: the first one of the route's split.
     pub(crate) fn main_service(&self) -> &str {
         self.route.rule.split.first().map_or("-", |part| &part.service)
     }
 
-    /// Until when an answer is in time, counted from the caller's first try.
+    /// When the latency target is missed, counted from the caller's first attempt.
     pub(crate) fn latency_deadline(&self) -> Instant {
         self.arrived_at + self.route.rule.latency_target.saturating_sub(self.caller_age)
     }
 
-    /// Time until nobody waits any more.
+    /// Time until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// Reads a whole request.
+/// Reads a complete request and finds its route.
 pub(crate) async fn read_request(
     mut request: Request,
     names: &HeaderNames,
     limits: CallerLimits,
     table: &RouteTable,
 ) -> Result<IncomingRequest, ErrorKind> {
-    let arrived = Instant::now();
+    let arrived_at = Instant::now();
     check_head(&request, limits)?;
     let host = read_host(&request)?;
     let route = table.find(&host, request.path()).ok_or(ErrorKind::UnknownRoute)?;
-    let headers = passed_headers(&request, names, &host)?;
+    let headers = forwarded_headers(&request, names, &host)?;
     let id = HeaderName::from_static(names.request_id);
     let request_id = headers.get(&id).cloned().ok_or(ErrorKind::RequestMalformed)?;
-    let deadline = number(&headers, names.deadline_ms)?.map(Duration::from_millis);
-    let age = deadline
-        .map_or(Duration::ZERO, |left| route.wait_tolerance.observe_remaining(left));
-    let until = arrived + deadline.unwrap_or(route.rule.timeout).min(route.rule.timeout);
-    let key = number(&headers, names.shard_key)?.map(u16::try_from).transpose();
+    let deadline = parse_number(&headers, names.deadline_ms)?.map(Duration::from_millis);
+    let caller_age =
+        deadline
+        .map_or(Duration::ZERO, |remaining| route.wait_tolerance.observe_remaining(remaining));
+    let deadline = arrived_at + deadline.unwrap_or(route.rule.timeout).min(route.rule.timeout);
+    let key = parse_number(&headers, names.shard_key)?.map(u16::try_from).transpose();
     let key = key.map_err(|_| ErrorKind::RequestMalformed)?;
     let method = http::Method::from_bytes(request.method().as_str().as_bytes())
         .map_err(|_| ErrorKind::RequestMalformed)?;
     let path_and_query =
         request.uri().path_and_query().map_or("/", |whole| whole.as_str()).to_owned();
-    let body = read_body_until(request.take_payload(), limits.body_bytes, until).await?;
+    let body = read_body_before(request.take_payload(), limits.body_bytes, deadline).await?;
     let outgoing = OutgoingRequest { method, path_and_query, headers, body, request_id };
-    Ok(IncomingRequest {
-        route,
-        outgoing,
-        key,
-        arrived_at: arrived,
-        caller_age: age,
-        deadline: until,
-    })
+    Ok(IncomingRequest { route, outgoing, key, arrived_at, caller_age, deadline })
 }
 
 fn check_head(request: &Request, limits: CallerLimits) -> Result<(), ErrorKind> {
@@ -95,25 +89,28 @@
     Ok(())
 }
 
-/// The host that the caller names, without its port.
+/// The host of the request, without a port.
 fn read_host(request: &Request) -> Result<String, ErrorKind> {
     let header = request.headers().get("host").and_then(|value| value.to_str().ok());
     let host = request.uri().host().or(header).ok_or(ErrorKind::RequestMalformed)?;
     Ok(host.split(':').next().unwrap_or_default().to_owned())
 }
 
-/// The headers that go on to a target.
-fn passed_headers(
+/// The headers that are forwarded to a target.
+fn forwarded_headers(
     request: &Request,
     names: &HeaderNames,
     host: &str,
 ) -> Result<HeaderMap, ErrorKind> {
-    let listed = connection_tokens(request);
+    let hop_by_hop = connection_tokens(request);
     let mut headers = HeaderMap::new();
     for (name, value) in request.headers() {
         let name = name.as_str();
-        let own = name == names.expected_target;
-        if is_connection_header(name) || own || listed.iter().any(|token| token == name) {
+        let is_expected_target = name == names.expected_target;
+        if is_connection_header(name)
+            || is_expected_target
+            || hop_by_hop.iter().any(|token| token == name)
+        {
             continue;
         }
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -129,7 +126,7 @@
     Ok(headers)
 }
 
-/// Headers that the caller's `Connection` header keeps to this connection.
+/// Hop-by-hop headers that the `Connection` header names.
 fn connection_tokens(request: &Request) -> Vec<String> {
     let values = request.headers().get_all("connection");
     let values = values.filter_map(|value| value.to_str().ok());
@@ -139,8 +136,8 @@
         .collect()
 }
 
-/// A header's value as a number; `None` when the header is absent.
-fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, ErrorKind> {
+/// A header's value as a number; `None` if the header is absent.
+fn parse_number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, ErrorKind> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -148,27 +145,27 @@
     number.map(Some).ok_or(ErrorKind::RequestMalformed)
 }
 
-async fn read_body_until(
+async fn read_body_before(
     payload: Payload,
     limit: usize,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, ErrorKind> {
     if matches!(payload, Payload::None) {
         return Ok(Bytes::new());
     }
-    let left = until.saturating_duration_since(Instant::now());
-    let reading = tokio::time::timeout(left, read_body(payload, limit)).await;
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let reading = tokio::time::timeout(remaining, read_body(payload, limit)).await;
     reading.unwrap_or(Err(ErrorKind::BodyTruncated))
 }
 
 async fn read_body(mut payload: Payload, limit: usize) -> Result<Bytes, ErrorKind> {
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|_| ErrorKind::BodyTruncated)?;
-        if body.len() + piece.len() > limit {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|_| ErrorKind::BodyTruncated)?;
+        if body.len() + chunk.len() > limit {
             return Err(ErrorKind::BodyTooLarge);
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
--- a/crates/nickellead_gateway/src/target_registry.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -494,7 +494,7 @@
         cold_rule: Cell::new(None),
         cold_limiter: ColdLimiter::new(now + entry.cold_left, phase, now),
         down_until: Cell::new(Timestamp::ZERO),
-        signals: signals,
+        signals,
         reported_limit: Cell::default(),
         rate_limiter: RateLimiter::new(rank),
         sharing_vms: Cell::new(0),
