--- a/crates/nickellead_gateway/src/connections.rs
+++ b/crates/nickellead_gateway/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to one target: few are opened, and they are used again while sound.
+//! The pool of HTTP/1 connections to one target.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -18,70 +18,66 @@
 /// Sends requests over one connection.
 pub(crate) type RequestSender = http1::SendRequest<Full<Bytes>>;
 
-/// How long a connection may rest when the target does not say.
+/// Longest time that a connection stays idle in the pool, below the usual idle timeout of targets.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(8_500);
+/// How long before the target's idle timeout a connection is no longer reused.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_200);
+/// Longest idle time of a connection that is reused for a request that must not be repeated.
 ///
-/// Targets close idle ones after about ten seconds.
-const REST_MAX: Duration = Duration::from_millis(8_500);
-/// A connection is not used again this long before the target closes it.
-const REST_MARGIN: Duration = Duration::from_millis(1_200);
-/// The same for a request that may not be repeated: the longer a connection has rested, the
-/// likelier the target has forgotten it, and then nobody knows whether the request has run.
-const REST_UNSAFE: Duration = Duration::from_millis(4_000);
-/// Longest time to open a connection: a lost opening packet is sent again after a second.
+/// If the target closes an idle connection while a request is sent, its outcome is unknown.
+const MAX_IDLE_TIME_UNSAFE: Duration = Duration::from_millis(4_000);
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connections in a row that met silence from which a target counts as out of reach: one may be a
-/// lost packet.
-const SILENCES_OUT: u32 = 2;
-/// Between two connections that are tried towards a target out of reach; requests meanwhile are told
-/// at once.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// The system gives a connection up when the peer is silent for this long.
-const SILENCE_MAX: Duration = Duration::from_secs(3);
-
-/// A connection that is ready for a request.
+/// Consecutive connect timeouts after which a target counts as unreachable.
+const UNREACHABLE_TIMEOUTS: u32 = 2;
+/// Interval between connection attempts to an unreachable target; other requests fail at once.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// `TCP_USER_TIMEOUT`: how long sent data may stay unacknowledged before the connection fails.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// A connection on which a request can be sent.
 pub(crate) struct ReadyConnection {
     pub(crate) sender: RequestSender,
-    /// Whether it has carried a request before.
+    /// Whether an earlier request used it.
     pub(crate) reused: bool,
 }
 
-struct RestingConnection {
+struct IdleConnection {
     sender: RequestSender,
     since: Instant,
-    rest: Duration,
+    idle_timeout: Duration,
 }
 
-/// What becomes of bytes that are under way when a connection is given up.
+/// How a connection is closed when it is dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum CloseMode {
-    /// They may still arrive.
+    /// Data in the send buffer is still delivered.
     #[default]
     Graceful,
-    /// They are thrown away: the connection is reset.
+    /// The connection is reset, which discards unsent data.
     Reset,
 }
 
-/// The connections of this VM to one target.
+/// Idle connections to one target and the state of its reachability.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     close: CloseMode,
-    idle: RefCell<Vec<RestingConnection>>,
+    idle: RefCell<Vec<IdleConnection>>,
     opened: Cell<u64>,
-    /// Connections in a row that met silence.
-    timeouts_in_a_row: Cell<u32>,
-    /// When the last connection was tried.
+    /// Consecutive connect timeouts.
+    consecutive_timeouts: Cell<u32>,
+    /// When the last connection attempt began.
     last_attempt: Cell<Option<Instant>>,
 }
 
-/// Why no connection could be had.
+/// Why no connection was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectFailure {
-    /// Nobody listens at the address.
+    /// No process listens at the address.
     Refused,
-    /// It was broken as it began, before a byte of the request left: a target may do so to connections
-    /// beyond those that it takes.
+    /// The connection failed before any byte of the request was sent, as when the target has too many.
     Broken,
-    /// Nothing answered in time.
+    /// The address did not respond within [`CONNECT_TIMEOUT`] or the time that the caller waits.
     TimedOut,
 }
 
@@ -96,16 +92,16 @@
 }
 
 impl ConnectionPool {
-    /// A pool whose connections close in the given way.
+    /// An empty pool.
     pub(crate) fn new(close: CloseMode) -> Self {
         Self { close, ..Self::default() }
     }
 
-    /// The freshest resting connection, or a new one.
+    /// Takes the most recently used idle connection, or opens a new one.
     pub(crate) async fn take(
         &self,
         address: SocketAddr,
-        wait: Duration,
+        timeout: Duration,
         repeat: RepeatClass,
     ) -> Result<ReadyConnection, ConnectFailure> {
         if let Some(sender) = self.take_idle(repeat) {
@@ -116,15 +112,15 @@
         }
         self.last_attempt.set(Some(Instant::now()));
         self.opened.set(self.opened.get() + 1);
-        let whole = wait >= CONNECT_TIMEOUT;
-        let opening = tokio::time::timeout(wait.min(CONNECT_TIMEOUT), open(address, self.close));
+        let is_full_timeout = timeout >= CONNECT_TIMEOUT;
+        let opening = tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), open(address, self.close));
         let opened = opening.await;
         match &opened {
-            Ok(_) => self.timeouts_in_a_row.set(0),
-            // A caller with little time left proves nothing.
+            Ok(_) => self.consecutive_timeouts.set(0),
+            // A timeout shorter than CONNECT_TIMEOUT does not show that the target is unreachable.
             Err(_) => self
-                .timeouts_in_a_row
-                .set(self.timeouts_in_a_row.get().saturating_add(u32::from(whole))),
+                .consecutive_timeouts
+                .set(self.consecutive_timeouts.get().saturating_add(u32::from(is_full_timeout))),
         }
         match opened {
             Ok(Ok(sender)) => Ok(ReadyConnection { sender, reused: false }),
@@ -136,39 +132,44 @@
         }
     }
 
-    /// Whether the last connections met silence and the next one is not due yet.
+    /// Whether the last connection attempts timed out and the next probe is not due yet.
     fn is_unreachable(&self) -> bool {
-        let waits = self.last_attempt.get().is_some_and(|tried| tried.elapsed() < PROBE_PAUSE);
-        self.timeouts_in_a_row.get() >= SILENCES_OUT && waits
+        let probe_pending = self
+            .last_attempt
+            .get()
+            .is_some_and(|last_attempt| last_attempt.elapsed() < PROBE_INTERVAL);
+        self.consecutive_timeouts.get() >= UNREACHABLE_TIMEOUTS && probe_pending
     }
 
     fn take_idle(&self, repeat: RepeatClass) -> Option<RequestSender> {
-        let most = match repeat {
-            RepeatClass::Safe => REST_MAX,
-            RepeatClass::Unsafe => REST_UNSAFE,
+        let max_idle = match repeat {
+            RepeatClass::Safe => MAX_IDLE_TIME,
+            RepeatClass::Unsafe => MAX_IDLE_TIME_UNSAFE,
         };
-        let mut resting = self.idle.borrow_mut();
-        resting.retain(|one| one.since.elapsed() < one.rest && !one.sender.is_closed());
-        // The freshest are at the end; one whose last answer was just read may not be ready yet.
-        let place =
-            resting.iter().rposition(|one| one.sender.is_ready() && one.since.elapsed() < most)?;
-        Some(resting.remove(place).sender)
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|one| one.since.elapsed() < one.idle_timeout && !one.sender.is_closed());
+        // The most recent ones are at the end; one whose response was just read may not be ready yet.
+        let index =
+            idle.iter().rposition(|one| one.sender.is_ready() && one.since.elapsed() < max_idle)?;
+        Some(idle.remove(index).sender)
     }
 
-    /// Puts a connection back whose answer is complete.
+    /// Returns a connection after a complete response.
     ///
-    /// `rest` is how long the target keeps an idle connection, if it says so.
-    pub(crate) fn put(&self, sender: RequestSender, rest: Option<Duration>) {
-        let rest = rest.map_or(REST_MAX, |rest| rest.saturating_sub(REST_MARGIN).min(REST_MAX));
-        self.idle.borrow_mut().push(RestingConnection { sender, since: Instant::now(), rest });
+    /// `idle_timeout` is the target's idle timeout, if it sent one.
+    pub(crate) fn put(&self, sender: RequestSender, idle_timeout: Option<Duration>) {
+        let idle_timeout = idle_timeout.map_or(MAX_IDLE_TIME, |idle_timeout| {
+            idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(MAX_IDLE_TIME)
+        });
+        self.idle.borrow_mut().push(IdleConnection { sender, since: Instant::now(), idle_timeout });
     }
 
-    /// Connections opened so far.
+    /// Number of connection attempts so far.
     pub(crate) fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Closes what rests.
+    /// Closes all idle connections.
     pub(crate) fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -176,20 +177,20 @@
 
 async fn open(address: SocketAddr, close: CloseMode) -> std::io::Result<RequestSender> {
     let stream = TcpStream::connect(address).await?;
-    // Both options only shorten waits; without them the connection works too.
+    // Both options only reduce latency, so errors are ignored.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE_MAX));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     if close == CloseMode::Reset {
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     }
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
     actix_rt::spawn(async move {
-        // Its requests learn of an error; an idle connection just ends.
+        // Requests get the error through their senders; an idle connection is just closed.
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// Shared by the requests to one target.
+/// A connection pool that is shared by the requests to one target.
 pub(crate) type SharedPool = Rc<ConnectionPool>;
--- a/crates/nickellead_gateway/src/order_client.rs
+++ b/crates/nickellead_gateway/src/order_client.rs
@@ -1,8 +1,8 @@
-//! One call to a target that has no effect once it was given up.
+//! The HTTP client for orders to targets, which discards an order's unsent bytes on a timeout.
 //!
-//! An order that a cut link holds up must not arrive when the link heals: by
-//! then another target may hold the keys. So its connection is reset when the
-//! wait for its answer ends, which throws away what has not left this VM.
+//! An order that a network partition delays must not arrive when the partition heals, because
+//! another target may own the keys by then. The connection is therefore reset on a timeout, which
+//! discards what is still in this VM's send buffer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,71 +17,71 @@
 use crate::RepeatClass;
 use crate::connections::{CloseMode, ConnectionPool, RequestSender, SharedPool};
 
-/// Largest body of an answer to an order, in bytes.
-const ANSWER_MAX: usize = 64 * 1024;
-/// Most targets to which connections rest; beyond it all resting ones are closed.
-const POOLS_MAX: usize = 1_024;
+/// Most bytes of a response body; only the head is used.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// Most targets with a connection pool; beyond it all pools are dropped.
+const MAX_POOLS: usize = 1_024;
 
-/// Why a call has no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nothing was sent.
+    /// Nothing was sent, so the call had no effect.
     NotSent,
-    /// It was sent, and the connection broke or ended: it may have had effect.
+    /// The connection failed after the call was sent, which may have taken effect.
     Broken,
-    /// It was sent, and nothing came: it may have had effect.
+    /// No response arrived in time; the call may have taken effect.
     Unanswered,
 }
 
-/// Calls targets on connections that are reset when a call is given up.
+/// Sends orders over pooled connections that are reset when a call times out.
 #[derive(Default)]
 pub struct OrderClient {
     pools: RefCell<HashMap<SocketAddr, SharedPool>>,
 }
 
 impl OrderClient {
-    /// Posts a JSON body and waits for the whole answer, `wait` at most.
+    /// Posts a JSON body and waits up to `timeout` for the complete response.
     ///
     /// # Errors
-    /// [`CallFailure`] tells whether the call may have had effect.
+    /// [`CallFailure`] says whether the call may have taken effect.
     pub async fn post(
         &self,
         address: SocketAddr,
         path: &str,
         headers: HeaderMap,
         body: Vec<u8>,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, HeaderMap), CallFailure> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + timeout;
         let pool = self.pool(address);
-        let connecting = pool.take(address, wait, RepeatClass::Safe).await;
+        let connecting = pool.take(address, timeout, RepeatClass::Safe).await;
         let mut connection = connecting.map_err(|_| CallFailure::NotSent)?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = path.parse().map_err(|_| CallFailure::NotSent)?;
         *request.headers_mut() = headers;
-        let left = until.saturating_duration_since(Instant::now());
-        let answer = tokio::time::timeout(left, call(&mut connection.sender, request)).await;
-        let answer = answer.unwrap_or(Err(CallFailure::Unanswered));
-        match answer {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let result = tokio::time::timeout(remaining, call(&mut connection.sender, request)).await;
+        let result = result.unwrap_or(Err(CallFailure::Unanswered));
+        match result {
             Ok(_) => pool.put(connection.sender, None),
-            // The next call must show by a new connection whether the target is there at all.
+            // The next call opens a new connection, which shows whether the target is reachable.
             Err(_) => pool.clear(),
         }
-        answer
+        result
     }
 
     fn pool(&self, address: SocketAddr) -> SharedPool {
         let mut pools = self.pools.borrow_mut();
-        if pools.len() >= POOLS_MAX && !pools.contains_key(&address) {
+        if pools.len() >= MAX_POOLS && !pools.contains_key(&address) {
             pools.clear();
         }
-        let fresh = || Rc::new(ConnectionPool::new(CloseMode::Reset));
-        Rc::clone(pools.entry(address).or_insert_with(fresh))
+        let new_pool = || Rc::new(ConnectionPool::new(CloseMode::Reset));
+        Rc::clone(pools.entry(address).or_insert_with(new_pool))
     }
 }
 
-/// Sends a request and reads the whole answer, of which only the head counts.
+/// Sends a request, reads the complete response and returns its head.
 async fn call(
     sender: &mut RequestSender,
     request: Request<Full<Bytes>>,
@@ -92,7 +92,7 @@
         None => CallFailure::Broken,
     })?;
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, ANSWER_MAX).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     body.map_err(|_| CallFailure::Broken)?;
     Ok((head.status, head.headers))
 }
