--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -1,10 +1,9 @@
-//! Following the store: declarations, targets, ranges.
+//! Watches of the store: declarations, targets, ranges and evacuated zones.
 //!
-//! Each part is read once and then watched, from where the book already
-//! reaches. A watch that finds its history forgotten reads anew and compares,
-//! so that no removal is missed. A watch under way when the store answers again
-//! after a failure is started anew: the old one may never be answered. Nothing
-//! is asked while another VM tells the news.
+//! Each kind of object is read once and then watched from the revision that is known. If that
+//! revision is compacted, everything is read again and compared, so that no removal is missed. When
+//! the store recovers from an outage, watches are restarted, because old ones may never get a
+//! response. The store is not watched while another VM sends updates.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -15,52 +14,47 @@
 use crate::store_health::StoreHealth;
 use crate::{Declarations, Revision, Snapshot, StoreError, StorePort, Stored};
 
-/// How long one watch waits for changes: each end of a wait is a call that is paid for.
-const WATCH_WAIT: Duration = Duration::from_secs(15);
-/// Changes of targets that come within this time are read by one call of the VM that tells others.
-const TARGET_PAUSE: Duration = Duration::from_millis(300);
-/// The same on a VM that follows the store for itself only: there are many of them at such times,
-/// and targets that leave may be sent requests for two seconds.
-const TARGET_PAUSE_ALONE: Duration = Duration::from_millis(900);
-/// Changes of ranges that come within this time are read by one call of such a VM.
-const RANGE_PAUSE_ALONE: Duration = Duration::from_millis(250);
-/// Changes of declarations that come within this time are read by one call.
-const DECLARATION_PAUSE: Duration = Duration::from_millis(120);
+/// How long one watch call waits for changes; each call has a price.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay after a change of targets, so that one call reads several changes, on the mandate holder.
+const TARGETS_DELAY: Duration = Duration::from_millis(300);
+/// The same delay on other VMs, of which many watch the store at the same time.
+const TARGETS_DELAY_NOT_LEADING: Duration = Duration::from_millis(900);
+/// Delay after a change of ranges, so that one call reads several changes.
+const RANGES_DELAY: Duration = Duration::from_millis(250);
+/// Delay after a change of declarations, so that one call reads several changes.
+const DECLARATIONS_DELAY: Duration = Duration::from_millis(120);
 
-/// Declarations that another VM announced are read from the store when they have not arrived after this
-/// time: on the way to a VM with a slow link there may be slower ones. The announcement takes some
-/// 0.1 s and the read up to 0.8 s on 10 Mbit/s, and two seconds are allowed from the store's word on.
-const ANNOUNCED_WAIT: Duration = Duration::from_millis(900);
+/// How long announced declarations may be on their way from another VM before the store is read instead.
+const ANNOUNCED_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Between two looks whether the store answers again.
-const OUTAGE_PAUSE: Duration = Duration::from_millis(500);
-/// All VMs come back to a store that returns spread over this time.
-const RETURN_SPREAD: Duration = Duration::from_millis(150);
+/// Interval between two checks whether the store has recovered.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Upper bound of the random delay before a VM uses a recovered store, which spreads the load.
+const MAX_RECOVERY_JITTER: Duration = Duration::from_millis(150);
 
-/// A watch may miss changes, or be cut without a word, while the store drops its history. So a part
-/// is read anew when a watch heard nothing for this long: declarations must be in force within two
-/// seconds.
-const DECLARATIONS_CHECK: Duration = Duration::from_millis(1_000);
-/// The same for targets and ranges, of which a VM also learns by being refused.
-const LISTS_CHECK: Duration = Duration::from_millis(2_500);
-/// The same for evacuated zones, which are to get nothing after five seconds.
-const EVACUATIONS_CHECK: Duration = Duration::from_millis(1_500);
-/// A part that can't be watched from what was just read is read anew after this time: whatever keeps it from that,
-/// the store is not asked without end, and changes are known well within the two seconds that they may take.
-const FORGOTTEN_PAUSE: Duration = Duration::from_millis(600);
-/// On a VM that follows the store for itself only, checks are this many times rarer.
-const ALONE_FACTOR: f64 = 4.0;
-/// On a VM that follows the store because its source was lost, and tells others, they are this many
-/// times as far apart: its readers leave it when the store has not answered it for a second.
-const TELLER_FACTOR: f64 = 0.6;
+/// Interval of full reads of the declarations beside a watch without changes.
+///
+/// A watch may miss changes, or never end, while the store compacts its history.
+const DECLARATIONS_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The same for targets and ranges; targets also refuse requests based on an outdated list.
+const LISTS_CHECK_INTERVAL: Duration = Duration::from_millis(2_500);
+/// The same for evacuated zones.
+const EVACUATIONS_CHECK_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Delay before another full read if the revision of the last one is already compacted.
+const COMPACTED_DELAY: Duration = Duration::from_millis(600);
+/// Factor on the check intervals of a VM that is not the mandate holder and has no subscribers.
+const CHECK_FACTOR_WITHOUT_SUBSCRIBERS: f64 = 4.0;
+/// The same factor for a VM with subscribers, which leave an upstream without recent store responses.
+const CHECK_FACTOR_WITH_SUBSCRIBERS: f64 = 0.6;
 
-/// What following needs.
+/// Watches the store and applies what it reads to the cluster state.
 pub(crate) struct StoreWatcher<S> {
     pub(crate) store: Rc<S>,
     pub(crate) health: Rc<StoreHealth>,
     pub(crate) book: Rc<BeliefBook>,
     pub(crate) relay: Rc<NewsRelay>,
-    /// Whether availability zones may be evacuated.
+    /// Whether evacuations of availability zones are enabled.
     pub(crate) follows_evacuations: bool,
 }
 
@@ -76,68 +70,70 @@
     }
 }
 
-/// What a step of following led to.
+/// What a watch loop does next.
 enum WatchStep {
-    /// Go on at once.
+    /// Watch again at once.
     Continue,
-    /// Go on after this time: what changes meanwhile is read by one call.
+    /// Watch again after this delay, so that one call reads several changes.
     After(Duration),
-    /// What is known is too old to watch from: read anew.
-    ReadAnew,
+    /// Read everything instead of watching from the known revision.
+    ReadAll,
 }
 
 impl<S: StorePort> StoreWatcher<S> {
-    /// Follows all three parts for as long as the process lives.
+    /// Starts one watch loop for each kind of object; they run until the process ends.
     pub(crate) fn start(&self) {
-        let follower = self.clone();
+        let watcher = self.clone();
         actix_rt::spawn(async move {
-            follower.run(|anew| follower.step_declarations(anew)).await;
+            watcher.run(|read_all| watcher.step_declarations(read_all)).await;
         });
-        let follower = self.clone();
-        actix_rt::spawn(async move { follower.read_late_declarations().await });
-        let follower = self.clone();
-        actix_rt::spawn(async move { follower.run(|anew| follower.step_targets(anew)).await });
-        let follower = self.clone();
-        actix_rt::spawn(async move { follower.run(|anew| follower.step_ranges(anew)).await });
+        let watcher = self.clone();
+        actix_rt::spawn(async move { watcher.read_late_declarations().await });
+        let watcher = self.clone();
+        actix_rt::spawn(
+            async move { watcher.run(|read_all| watcher.step_targets(read_all)).await },
+        );
+        let watcher = self.clone();
+        actix_rt::spawn(async move { watcher.run(|read_all| watcher.step_ranges(read_all)).await });
         if self.follows_evacuations {
-            let follower = self.clone();
+            let watcher = self.clone();
             actix_rt::spawn(async move {
-                follower.run(|anew| follower.step_evacuations(anew)).await;
+                watcher.run(|read_all| watcher.step_evacuations(read_all)).await;
             });
         }
         let book = Rc::clone(&self.book);
         actix_rt::spawn(async move { book.drop_all_lapsed().await });
     }
 
-    /// Repeats a step while this VM follows the store.
+    /// Repeats a step while this VM watches the store itself.
     async fn run<F>(&self, mut step: impl FnMut(bool) -> F)
     where
         F: Future<Output = Result<WatchStep, StoreError>>,
     {
-        let mut anew = false;
-        let mut led = false;
-        let mut forgotten: Option<Instant> = None;
+        let mut read_all = false;
+        let mut was_leading = false;
+        let mut last_compacted: Option<Instant> = None;
         loop {
             self.relay.follows_store().await;
-            // Others rely on this VM once it leads, and a watch that was begun during an outage hangs.
-            anew |= self.relay.leads() && !led;
-            led = self.relay.leads();
+            // A new mandate holder serves all other VMs, and a watch from before an outage may hang.
+            read_all |= self.relay.leads() && !was_leading;
+            was_leading = self.relay.leads();
             let stepped = tokio::select! {
-                stepped = step(anew) => stepped,
+                stepped = step(read_all) => stepped,
                 () = self.relay.leaves_store() => continue,
                 () = self.health.recovered.notified() => continue,
                 () = self.relay.starts_to_lead() => continue,
             };
-            anew = false;
+            read_all = false;
             match stepped {
                 Ok(WatchStep::Continue) => {}
                 Ok(WatchStep::After(pause)) => tokio::time::sleep(pause).await,
-                Ok(WatchStep::ReadAnew) => anew = true,
+                Ok(WatchStep::ReadAll) => read_all = true,
                 Err(StoreError::Compacted) => {
-                    anew = true;
-                    let last = forgotten.replace(Instant::now());
-                    if last.is_some_and(|last| last.elapsed() < FORGOTTEN_PAUSE * 2) {
-                        tokio::time::sleep(FORGOTTEN_PAUSE).await;
+                    read_all = true;
+                    let last = last_compacted.replace(Instant::now());
+                    if last.is_some_and(|last| last.elapsed() < COMPACTED_DELAY * 2) {
+                        tokio::time::sleep(COMPACTED_DELAY).await;
                     }
                 }
                 Err(_) => self.wait_for_store().await,
@@ -145,21 +141,21 @@
         }
     }
 
-    /// Waits until the store answers the mandate's cheap looks again: to ask for each part meanwhile, with
-    /// a call of ten times their price, tells nothing more.
+    /// Waits until the store has recovered, which the cheaper reads of the mandate detect.
     async fn wait_for_store(&self) {
         if !self.health.is_unavailable() {
             return self.health.backoff().await;
         }
         while self.health.is_unavailable() {
-            // A notice may come between the look and the wait.
-            let _ = tokio::time::timeout(OUTAGE_PAUSE, self.health.recovered.notified()).await;
+            // The timeout covers a notification between the check and the wait.
+            let _ = tokio::time::timeout(RECOVERY_POLL_INTERVAL, self.health.recovered.notified())
+                .await;
         }
-        tokio::time::sleep(RETURN_SPREAD.mul_f64(fastrand::f64())).await;
+        tokio::time::sleep(MAX_RECOVERY_JITTER.mul_f64(fastrand::f64())).await;
     }
 
-    async fn step_declarations(&self, anew: bool) -> Result<WatchStep, StoreError> {
-        let known = self.book.known().declarations.filter(|_| !anew);
+    async fn step_declarations(&self, read_all: bool) -> Result<WatchStep, StoreError> {
+        let known = self.book.known().declarations.filter(|_| !read_all);
         let result = match known {
             None => self.store.declarations().await,
             Some(from) => match self.watch_declarations(from).await? {
@@ -171,26 +167,27 @@
         let snapshot = result?;
         let changed = snapshot.value.is_some();
         self.book.note_declarations(snapshot.as_of, snapshot.value);
-        // A full read that follows a silent watch brings nothing new, and waits for nothing.
+        // The first read needs no delay.
         let changed = changed && known.is_some();
-        Ok(if changed { WatchStep::After(DECLARATION_PAUSE) } else { WatchStep::Continue })
+        Ok(if changed { WatchStep::After(DECLARATIONS_DELAY) } else { WatchStep::Continue })
     }
 
-    /// Waits for newer declarations, and reads them now and then besides: the watch goes on, for
-    /// starting it anew is one more call. Gives `None` when a read found what the watch had missed.
+    /// Waits for newer declarations, and reads them at intervals besides.
+    ///
+    /// Returns `None` if a read found a version that the watch had not reported.
     async fn watch_declarations(
         &self,
         from: Revision,
     ) -> Result<Option<Snapshot<Option<Declarations>>>, StoreError> {
-        let mut watching = std::pin::pin!(self.store.watch_declarations(from, WATCH_WAIT));
+        let mut watching = std::pin::pin!(self.store.watch_declarations(from, WATCH_TIMEOUT));
         let version = || self.book.declarations().map(|known| known.version);
         loop {
             let known = version();
             let checking = async {
-                tokio::time::sleep(self.check_time(DECLARATIONS_CHECK)).await;
+                tokio::time::sleep(self.check_interval(DECLARATIONS_CHECK_INTERVAL)).await;
                 self.store.declarations().await
             };
-            // The watch may be answered while the check goes on, and outlives one that fails.
+            // The watch continues during a check and after a failed one.
             let read = tokio::select! {
                 watched = &mut watching => return watched.map(Some),
                 read = checking => read,
@@ -205,11 +202,11 @@
         }
     }
 
-    /// Reads declarations that are announced and do not arrive, whoever is followed meanwhile.
+    /// Reads announced declarations that do not arrive from another VM in time.
     async fn read_late_declarations(&self) {
         loop {
             let since = self.book.wait_for_lack().await;
-            tokio::time::sleep_until((since + ANNOUNCED_WAIT).into()).await;
+            tokio::time::sleep_until((since + ANNOUNCED_TIMEOUT).into()).await;
             if !self.book.lacks_since(since) {
                 continue;
             }
@@ -219,56 +216,59 @@
                 Ok(read) => self.book.note_declarations(read.as_of, read.value),
                 Err(_) => self.wait_for_store().await,
             }
-            // What was read may be older than what was announced: not again at once.
-            tokio::time::sleep(ANNOUNCED_WAIT).await;
+            // The read may return an older version than the announced one: do not repeat it at once.
+            tokio::time::sleep(ANNOUNCED_TIMEOUT).await;
         }
     }
 
-    async fn step_targets(&self, anew: bool) -> Result<WatchStep, StoreError> {
-        match self.book.known().targets.filter(|_| !anew) {
+    async fn step_targets(&self, read_all: bool) -> Result<WatchStep, StoreError> {
+        match self.book.known().targets.filter(|_| !read_all) {
             None => {
                 let result = self.store.targets().await;
                 self.health.record(&result);
                 let list = result?;
                 self.book.note_all_targets(list.as_of, list.value, self.expiry_end());
-                Ok(WatchStep::After(self.target_pause()))
+                Ok(WatchStep::After(self.targets_delay()))
             }
             Some(from) => self.watch_targets(from).await,
         }
     }
 
     async fn watch_targets(&self, from: Revision) -> Result<WatchStep, StoreError> {
-        let watching = self.store.watch_targets(from, WATCH_WAIT);
-        let result = match tokio::time::timeout(self.check_time(LISTS_CHECK), watching).await {
-            Ok(result) => result,
-            Err(_) => return Ok(WatchStep::ReadAnew),
-        };
+        let watching = self.store.watch_targets(from, WATCH_TIMEOUT);
+        let result =
+            match tokio::time::timeout(self.check_interval(LISTS_CHECK_INTERVAL), watching).await {
+                Ok(result) => result,
+                Err(_) => return Ok(WatchStep::ReadAll),
+            };
         self.health.record(&result);
         let changes = result?;
         if self.book.known().targets.is_some_and(|known| known != from) {
-            // Another source was faster: these changes may stand behind what is known.
-            return Ok(WatchStep::ReadAnew);
+            // Another VM's update was faster: these changes may be older than what is known.
+            return Ok(WatchStep::ReadAll);
         }
         let changed = !changes.value.is_empty();
         self.book.note_target_changes(changes.as_of, changes.value, self.expiry_end());
-        Ok(if changed { WatchStep::After(self.target_pause()) } else { WatchStep::Continue })
+        Ok(if changed { WatchStep::After(self.targets_delay()) } else { WatchStep::Continue })
     }
 
-    async fn step_ranges(&self, anew: bool) -> Result<WatchStep, StoreError> {
+    async fn step_ranges(&self, read_all: bool) -> Result<WatchStep, StoreError> {
         if self.relay.leads() {
-            // Nobody else writes the map: what this VM writes it tells the book itself, and a late
-            // write of a predecessor would make its next one fail.
+            // The mandate holder need not watch the map: it applies its own writes to the cluster state, and
+            // a late write of its predecessor makes its next write fail.
             self.relay.leads_no_more().await;
-            return Ok(WatchStep::ReadAnew);
+            return Ok(WatchStep::ReadAll);
         }
-        let known = self.book.known().ranges.filter(|_| !anew);
+        let known = self.book.known().ranges.filter(|_| !read_all);
         let result = match known {
             None => self.store.ranges().await,
             Some(from) => {
-                let watching = self.store.watch_ranges(from, WATCH_WAIT);
-                match tokio::time::timeout(self.check_time(LISTS_CHECK), watching).await {
+                let watching = self.store.watch_ranges(from, WATCH_TIMEOUT);
+                match tokio::time::timeout(self.check_interval(LISTS_CHECK_INTERVAL), watching)
+                    .await
+                {
                     Ok(result) => result,
-                    Err(_) => return Ok(WatchStep::ReadAnew),
+                    Err(_) => return Ok(WatchStep::ReadAll),
                 }
             }
         };
@@ -276,15 +276,14 @@
         let snapshot = result?;
         let changed = snapshot.value.is_some();
         self.book.note_ranges(snapshot.as_of, snapshot.value);
-        Ok(if changed { WatchStep::After(RANGE_PAUSE_ALONE) } else { WatchStep::Continue })
+        Ok(if changed { WatchStep::After(RANGES_DELAY) } else { WatchStep::Continue })
     }
 
-    /// Lists the evacuated zones, and then again whenever one begins or ends: the list is short, and a
-    /// change that only a list shows is not missed.
-    async fn step_evacuations(&self, anew: bool) -> Result<WatchStep, StoreError> {
-        if let Some(from) = self.book.known().evacuations.filter(|_| !anew) {
-            let watching = self.store.watch_evacuations(from, WATCH_WAIT);
-            let check = self.check_time(EVACUATIONS_CHECK);
+    /// Lists the evacuated zones, and again whenever an evacuation begins or ends.
+    async fn step_evacuations(&self, read_all: bool) -> Result<WatchStep, StoreError> {
+        if let Some(from) = self.book.known().evacuations.filter(|_| !read_all) {
+            let watching = self.store.watch_evacuations(from, WATCH_TIMEOUT);
+            let check = self.check_interval(EVACUATIONS_CHECK_INTERVAL);
             if let Ok(watched) = tokio::time::timeout(check, watching).await {
                 self.health.record(&watched);
                 if !watched?.value {
@@ -299,21 +298,21 @@
         Ok(WatchStep::Continue)
     }
 
-    fn check_time(&self, time: Duration) -> Duration {
+    fn check_interval(&self, interval: Duration) -> Duration {
         if self.relay.leads() {
-            time
+            interval
         } else if self.relay.has_readers() {
-            time.mul_f64(TELLER_FACTOR)
+            interval.mul_f64(CHECK_FACTOR_WITH_SUBSCRIBERS)
         } else {
-            time.mul_f64(ALONE_FACTOR)
+            interval.mul_f64(CHECK_FACTOR_WITHOUT_SUBSCRIBERS)
         }
     }
 
-    fn target_pause(&self) -> Duration {
-        if self.relay.leads() { TARGET_PAUSE } else { TARGET_PAUSE_ALONE }
+    fn targets_delay(&self) -> Duration {
+        if self.relay.leads() { TARGETS_DELAY } else { TARGETS_DELAY_NOT_LEADING }
     }
 
-    /// Until when a missing entry may only have lapsed; `None` when the store was not away.
+    /// Until when a missing entry may only have expired during an outage; `None` without a recent outage.
     fn expiry_end(&self) -> Option<Instant> {
         if self.health.is_unavailable() {
             return Some(Instant::now() + LAPSE_TIME);
