--- a/crates/nickellead_gateway/src/load_counter.rs
+++ b/crates/nickellead_gateway/src/load_counter.rs
@@ -1,4 +1,4 @@
-//! Requests by key and answers of targets, handed from the request path to the control duty.
+//! Load statistics that the request thread collects for the control loop.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,28 +7,28 @@
 use bincode::{Decode, Encode};
 use nickellead_range::TargetInstance;
 
-/// Most keys counted between two looks of one service; the rest is not counted.
-const KEYS_MAX: usize = 8_192;
+/// Most keys of one service that are counted between two reads; further keys are ignored.
+const MAX_KEYS: usize = 8_192;
 
-/// Counts by service and key since the last look.
+/// Number of requests by service and key since the last read.
 pub(crate) type KeyCounts = HashMap<String, HashMap<u16, u32>>;
 
-/// What the request path has seen since the last look.
+/// Statistics of the request path since the last read.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub(crate) struct LoadCounts {
     /// Requests by service and key.
     pub(crate) keys: KeyCounts,
-    /// What became of requests, by target.
+    /// Responses and losses by target.
     pub(crate) responses: HashMap<String, ResponseCounts>,
-    /// Targets that said that they leave.
+    /// Targets that signalled that they are leaving.
     pub(crate) leaving: BTreeSet<TargetInstance>,
-    /// What targets said of limits.
+    /// Limits that targets reported.
     pub(crate) limits: BTreeMap<TargetInstance, LimitCounts>,
-    /// The VMs that counted.
+    /// The VMs that contributed to these counts.
     pub(crate) vms: BTreeSet<VmId>,
 }
 
-/// A VM and its availability zone, hashed: enough to count VMs by, and to share work out among them.
+/// Hashes of a VM's name and of its availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
 pub(crate) struct VmId {
     vm: u32,
@@ -36,22 +36,20 @@
 }
 
 impl VmId {
-    /// The mark of the VM of this name and availability zone.
+    /// The identifier of the VM with this name in this availability zone.
     pub(crate) fn new(vm: &str, zone: &str) -> Self {
         Self { vm: short_hash(vm), zone: short_hash(zone) }
     }
 
-    /// Whether the VM is in this availability zone.
     pub(crate) fn is_in_zone(self, zone: &str) -> bool {
         self.zone == short_hash(zone)
     }
 
-    /// Whether both VMs are in one availability zone.
     pub(crate) fn shares_zone_with(self, other: Self) -> bool {
         self.zone == other.zone
     }
 
-    /// The VM's rank for a target among all VMs.
+    /// The VM's rank for a target, for rendezvous hashing.
     pub(crate) fn rank(self, target: &str) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(target.as_bytes(), u64::from(self.vm))
     }
@@ -61,27 +59,27 @@
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
 
-/// What became of requests at one target since the last look.
+/// Outcomes of requests at one target since the last read.
 #[derive(Clone, Copy, Debug, Default, Encode, Decode)]
 pub(crate) struct ResponseCounts {
-    /// Whole answers.
+    /// Complete responses.
     pub(crate) responses: u32,
-    /// Their time together, in milliseconds.
+    /// Sum of their latencies, in milliseconds.
     pub(crate) total_ms: f64,
-    /// The same, each as a part of its request's latency target.
+    /// Sum of their latencies, each divided by the latency target of its request.
     pub(crate) latency_target_ratios: f64,
-    /// Tries that were sent and met a refusal, a broken connection or no answer in time.
+    /// Attempts that were refused, lost their connection or timed out after the request was sent.
     pub(crate) lost: u32,
-    /// Longest pause that it asked for, in milliseconds; 0 for none.
+    /// Longest pause that the target requested, in milliseconds; 0 for none.
     pub(crate) max_pause_ms: u32,
 }
 
-/// What one life of a target said of its limit since the last look.
+/// Limits that one instance of a target reported since the last read.
 #[derive(Clone, Copy, Debug, Default, Encode, Decode)]
 pub(crate) struct LimitCounts {
-    /// Least limit that it named, in requests a second from all VMs together.
+    /// Lowest reported limit, in requests a second from all VMs together.
     pub(crate) min_limit: Option<f64>,
-    /// Answers that named none, counted by VMs that know of one.
+    /// Responses without a limit, counted only by VMs that know one.
     pub(crate) unlimited: u32,
 }
 
@@ -105,19 +103,19 @@
     }
 }
 
-/// Counters that both duties share.
+/// Statistics shared by the request thread and the control loop.
 ///
-/// The lock is held for one insertion or one swap, so neither duty waits for the other's work.
+/// The lock is only held for one insertion or swap.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadCounter(Arc<Mutex<LoadCounts>>);
 
 impl LoadCounter {
-    /// The counts; they are sound after any panic, as each change is one insertion or swap.
+    /// Locks the counts; a poisoned lock is ignored, because each change is a single insertion or swap.
     fn lock(&self) -> MutexGuard<'_, LoadCounts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one request.
+    /// Counts one request for a key.
     pub(crate) fn record_request(&self, service: &str, key: u16) {
         let mut counts = self.lock();
         let counts = &mut counts.keys;
@@ -129,27 +127,33 @@
         }
     }
 
-    /// Counts a whole answer of a target to a request with this latency target.
-    pub(crate) fn record_response(&self, target: &str, length: Duration, goal: Duration) {
-        let goal_parts = length.as_secs_f64() / goal.as_secs_f64().max(f64::EPSILON);
-        let total_ms = length.as_secs_f64() * 1_000.0;
+    /// Counts a complete response to a request with this latency target.
+    pub(crate) fn record_response(
+        &self,
+        target: &str,
+        latency: Duration,
+        latency_target: Duration,
+    ) {
+        let latency_target_ratio =
+            latency.as_secs_f64() / latency_target.as_secs_f64().max(f64::EPSILON);
+        let total_ms = latency.as_secs_f64() * 1_000.0;
         self.add_responses(
             target,
             ResponseCounts {
                 responses: 1,
                 total_ms,
-                latency_target_ratios: goal_parts,
+                latency_target_ratios: latency_target_ratio,
                 ..ResponseCounts::default()
             },
         );
     }
 
-    /// Counts a request that a target left without a usable answer.
+    /// Counts a request without a usable response.
     pub(crate) fn record_lost(&self, target: &str) {
         self.add_responses(target, ResponseCounts { lost: 1, ..ResponseCounts::default() });
     }
 
-    /// Counts a pause that a target asked for.
+    /// Records a pause that a target requested.
     pub(crate) fn record_pause(&self, target: &str, pause: Duration) {
         let pause_ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
         self.add_responses(
@@ -158,7 +162,7 @@
         );
     }
 
-    /// Counts an answer that names a limit, or that names none any more.
+    /// Records the limit of a response, or that a response has none any more.
     pub(crate) fn record_limit(&self, target: TargetInstance, limit: Option<f64>) {
         let counts = LimitCounts { min_limit: limit, unlimited: u32::from(limit.is_none()) };
         self.lock().limits.entry(target).or_default().add(counts);
@@ -174,17 +178,17 @@
         }
     }
 
-    /// Notes a target that said that it leaves.
+    /// Records a target that signalled that it is leaving.
     pub(crate) fn record_leaving(&self, target: TargetInstance) {
         self.lock().leaving.insert(target);
     }
 
-    /// Takes the targets that said so since the last look.
+    /// Returns and clears the targets that are leaving.
     pub(crate) fn take_leaving(&self) -> BTreeSet<TargetInstance> {
         std::mem::take(&mut self.lock().leaving)
     }
 
-    /// Adds what another VM has seen.
+    /// Adds the counts of another VM.
     pub(crate) fn merge(&self, other: LoadCounts) {
         let mut counts = self.lock();
         for (service, keys) in other.keys {
@@ -201,15 +205,15 @@
         }
     }
 
-    /// Takes the counts and starts anew.
+    /// Returns and resets all counts.
     pub(crate) fn take(&self) -> LoadCounts {
         std::mem::take(&mut *self.lock())
     }
 }
 
-/// Adds to a key's count, unless too many other keys are counted already.
+/// Adds to a key's count, unless [`MAX_KEYS`] other keys are counted already.
 fn add_count(keys: &mut HashMap<u16, u32>, key: u16, count: u32) {
-    if keys.len() < KEYS_MAX || keys.contains_key(&key) {
+    if keys.len() < MAX_KEYS || keys.contains_key(&key) {
         *keys.entry(key).or_default() += count;
     }
 }
