--- a/crates/nickellead_gateway/src/fleet.rs
+++ b/crates/nickellead_gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The VMs that take requests, as the mandate's holder tells all VMs.
+//! The VMs that take requests, as announced to all VMs by the holder of the mandate (leader lease).
 
 use std::collections::BTreeSet;
 
@@ -8,32 +8,31 @@
 use crate::load_counter::VmId;
 use crate::{MandateRecord, StoreEra, Stored};
 
-/// Which word is newer: first by when its holder took the mandate, in which era of the store, then by the
-/// holder's own count.
+/// Orders announcements: by the term of the mandate, then by their sequence number within the term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(crate) struct AnnouncementStamp {
     pub(crate) term: MandateTerm,
-    /// Number of the holder's word.
+    /// Number of the announcement within the term.
     pub(crate) sequence: u64,
 }
 
-/// One term of a mandate, as its holder's words go on in one era of the store.
+/// One term of the mandate within one era of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(crate) struct MandateTerm {
-    /// Era of the store in which the mandate was last renewed.
+    /// The store's era when the mandate was last renewed.
     pub(crate) era: StoreEra,
-    /// Number of the write by which the holder took it.
+    /// Number of the write that acquired the mandate.
     pub(crate) taken: u64,
 }
 
 impl MandateTerm {
-    /// The term of a mandate.
+    /// The term that a stored mandate belongs to.
     pub(crate) fn of(mandate: &Stored<MandateRecord>) -> Self {
         Self { era: mandate.revision.era, taken: mandate.value.taken }
     }
 }
 
-/// The VMs that take requests.
+/// The VMs that take requests; empty while unknown.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) struct FleetTable {
     pub(crate) stamp: AnnouncementStamp,
@@ -41,7 +40,7 @@
 }
 
 impl FleetTable {
-    /// How many VMs there are, this one included; 0 while none are known.
+    /// Number of VMs including `vm`; 0 while the fleet is unknown.
     pub(crate) fn count_including(&self, vm: VmId) -> usize {
         match self.vms.len() {
             0 => 0,
@@ -49,40 +48,40 @@
         }
     }
 
-    /// Place of a VM among those of its availability zone, and how many these are; `None` for a VM that
-    /// the fleet does not name.
+    /// Index of a VM within its availability zone and the number of VMs there; `None` if the fleet does
+    /// not contain the VM.
     pub(crate) fn index_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
-        let near = self.vms.iter().filter(|one| one.shares_zone_with(vm));
-        place_among(vm, near)
+        let vms_in_zone = self.vms.iter().filter(|one| one.shares_zone_with(vm));
+        index_among(vm, vms_in_zone)
     }
 
-    /// The same among all VMs.
+    /// Index of a VM among all VMs and their number; `None` if the fleet does not contain the VM.
     pub(crate) fn index(&self, vm: VmId) -> Option<(usize, usize)> {
-        place_among(vm, self.vms.iter())
+        index_among(vm, self.vms.iter())
     }
 
-    /// Whether a VM is one of those that send to a target of this availability zone while it is cold.
+    /// Whether a VM may send requests to a target of this availability zone while the target is cold.
     ///
-    /// They are the VMs of the zone whose hashes with the target are highest, or of all zones if the zone
-    /// has none: VMs that know the same fleet agree without asking each other, also while they are cut
-    /// off, and a VM that comes or goes changes few of them.
+    /// Rendezvous hashing selects the senders from the VMs of the zone, or from all VMs if the zone has
+    /// none. VMs with the same view of the fleet agree without communication, and a VM that joins or
+    /// leaves changes few senders.
     pub(crate) fn sends_to_cold(&self, vm: VmId, target: &str, zone: &str) -> bool {
         if !self.vms.contains(&vm) {
             return false;
         }
-        let has_near = self.vms.iter().any(|one| one.is_in_zone(zone));
-        if has_near && !vm.is_in_zone(zone) {
+        let has_vms_in_zone = self.vms.iter().any(|one| one.is_in_zone(zone));
+        if has_vms_in_zone && !vm.is_in_zone(zone) {
             return false;
         }
-        let rivals = self.vms.iter().filter(|one| !has_near || one.is_in_zone(zone));
-        is_cold_sender(vm.rank(target), rivals.map(|one| one.rank(target)))
+        let candidates = self.vms.iter().filter(|one| !has_vms_in_zone || one.is_in_zone(zone));
+        is_cold_sender(vm.rank(target), candidates.map(|one| one.rank(target)))
     }
 }
 
-fn place_among<'a>(
+fn index_among<'a>(
     vm: VmId,
     all: impl Iterator<Item = &'a VmId> + Clone,
 ) -> Option<(usize, usize)> {
-    let place = all.clone().position(|one| *one == vm)?;
-    Some((place, all.count()))
+    let index = all.clone().position(|one| *one == vm)?;
+    Some((index, all.count()))
 }
