--- a/crates/nickellead_gateway/src/evacuation.rs
+++ b/crates/nickellead_gateway/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated availability zones, as one duty of a VM goes by them.
+//! State of evacuated availability zones.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,14 +7,12 @@
 
 use crate::EvacuatedZones;
 
-/// How long owners of keys in an evacuated zone are asked for them: their keys are moved meanwhile, which
-/// takes about the time of a request, two seconds for the longest.
+/// How long owners in an evacuated zone still get requests while their keys are moved to other zones.
 ///
-/// VMs hear of an evacuation within half a second of its being ordered, or a second and a half while
-/// watches of the store are deaf, and the users' platform allows five seconds in all.
-const OWNERS_STAY: Duration = Duration::from_millis(2_500);
+/// A move waits for requests in flight, so it takes about as long as the longest of them.
+const OWNERS_EVACUATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Which zones are evacuated, since when, and which were.
+/// Zones that are evacuated, and zones that returned, each with the time of the change.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneStates {
     evacuated: HashMap<String, Timestamp>,
@@ -22,7 +20,7 @@
 }
 
 impl ZoneStates {
-    /// Takes over which zones are evacuated now.
+    /// Sets the zones that are evacuated now.
     pub(crate) fn update(&mut self, zones: &EvacuatedZones, now: Timestamp) {
         let ended = self.evacuated.extract_if(|zone, _| !zones.contains(zone));
         self.returned.extend(ended.map(|(zone, _)| (zone, now)));
@@ -32,18 +30,18 @@
         }
     }
 
-    /// Whether a zone's targets are to get no new requests.
+    /// Whether a zone's targets get no new requests; owners of keys do until [`Self::is_closed`].
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.contains_key(zone)
     }
 
-    /// Whether not even owners of keys in a zone are asked any more.
+    /// Whether owners of keys in a zone get no more requests either.
     pub(crate) fn is_closed(&self, zone: &str, now: Timestamp) -> bool {
         let since = self.evacuated.get(zone);
-        since.is_some_and(|since| now.since(*since) >= OWNERS_STAY)
+        since.is_some_and(|since| now.since(*since) >= OWNERS_EVACUATION_TIMEOUT)
     }
 
-    /// When a zone's targets began to take requests again; they may have turned cold shortly before.
+    /// When a zone's targets began to take requests again; they may be cold then.
     pub(crate) fn returned_at(&self, zone: &str) -> Option<Timestamp> {
         self.returned.get(zone).copied()
     }
