--- a/crates/nickellead_gateway/src/drain.rs
+++ b/crates/nickellead_gateway/src/drain.rs
@@ -1,10 +1,10 @@
-//! Whether this VM is stopping, and until when it answers.
+//! Shutdown state of this VM.
 
 use std::time::Instant;
 
 use tokio::sync::watch;
 
-/// Set once, when the signal to stop came; read by the request duty.
+/// The deadline for responses once the VM is stopping; written once, read by the request thread.
 #[derive(Debug)]
 pub(crate) struct DrainState(watch::Sender<Option<Instant>>);
 
@@ -15,29 +15,28 @@
 }
 
 impl DrainState {
-    /// Notes that the last answers are made at `end`.
-    pub(crate) fn start(&self, end: Instant) {
-        // A second signal changes nothing.
-        self.0.send_if_modified(|known| known.replace(known.unwrap_or(end)).is_none());
+    /// Starts draining: requests without a response at `deadline` get an error.
+    pub(crate) fn start(&self, deadline: Instant) {
+        // A second stop signal does not move the deadline.
+        self.0.send_if_modified(|known| known.replace(known.unwrap_or(deadline)).is_none());
     }
 
-    /// Whether the VM is stopping.
     pub(crate) fn is_draining(&self) -> bool {
         self.0.borrow().is_some()
     }
 
-    /// Whether a request that may take until `until` could be cut by the end.
+    /// Whether the drain deadline is before `until`, so that a request could be cut off.
     pub(crate) fn ends_before(&self, until: Instant) -> bool {
-        self.0.borrow().is_some_and(|end| until > end)
+        self.0.borrow().is_some_and(|deadline| until > deadline)
     }
 
-    /// Returns when the last answers are to be made; never while the VM isn't stopping.
+    /// Waits for the drain deadline; never returns if the VM is not stopping.
     pub(crate) async fn wait_for_deadline(&self) {
-        let mut started = self.0.subscribe();
-        // An error would mean that the state is gone, and this function borrows it.
-        let end = started.wait_for(Option::is_some).await.ok().and_then(|end| *end);
-        match end {
-            Some(end) => tokio::time::sleep_until(end.into()).await,
+        let mut drain = self.0.subscribe();
+        // The sender is borrowed by this function, so the channel can't be closed.
+        let deadline = drain.wait_for(Option::is_some).await.ok().and_then(|deadline| *deadline);
+        match deadline {
+            Some(deadline) => tokio::time::sleep_until(deadline.into()).await,
             None => std::future::pending().await,
         }
     }
