--- a/crates/nickellead_gateway/src/policy.rs
+++ b/crates/nickellead_gateway/src/policy.rs
@@ -1,4 +1,4 @@
-//! Which mechanisms decide: each can be switched off to measure what it is worth.
+//! Switches for individual mechanisms, so that the effect of each can be measured.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,57 +6,57 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicySwitch {
-    /// It is.
+    /// The mechanism is used.
     #[default]
     On,
-    /// It is left out.
+    /// The mechanism is not used.
     Off,
 }
 
 impl PolicySwitch {
-    /// Whether the mechanism is used.
+    /// Returns `true` for [`Self::On`].
     #[must_use]
     pub const fn is_on(self) -> bool {
         matches!(self, Self::On)
     }
 }
 
-/// The mechanisms that decide about requests and placement; all are on unless set otherwise.
+/// Mechanisms of request routing and placement, all of which are on by default.
 ///
-/// None of them is needed for safety: what bounds holds and promises can't be switched off.
+/// None of them is needed for safety: leases and fences can't be switched off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicySettings {
-    /// Targets with many failures are left out for a while.
+    /// Targets with many failures are ejected for a while.
     pub ejection: PolicySwitch,
-    /// Each VM sends to a part of a large service.
+    /// Each VM sends requests to a subset of a large service's targets.
     pub subsets: PolicySwitch,
-    /// Targets of the VM's own availability zone are preferred.
+    /// Targets in the VM's own availability zone are preferred.
     pub near_preference: PolicySwitch,
     /// Targets that have just started are avoided.
     pub cold_avoidance: PolicySwitch,
-    /// Limits follow the time of answers, and not only losses.
+    /// Concurrency limits adapt to latency as well as to losses.
     pub answer_time_limit: PolicySwitch,
-    /// Requests wait for a turn only if their answer would be in time.
+    /// Requests are queued only if their response is expected within the latency target.
     pub turn_prediction: PolicySwitch,
-    /// Time counts from the caller's first try.
+    /// The latency target counts from the caller's first attempt.
     pub caller_age: PolicySwitch,
-    /// Requests are tried at a second target.
+    /// Failed requests are retried at another target.
     pub retries: PolicySwitch,
-    /// Callers are told to come back while they can be in time.
+    /// Refused callers get a retry delay that still allows a response within the latency target.
     pub come_back_time: PolicySwitch,
-    /// Requests for a key that has no owner for long are refused at once.
+    /// Requests for a key that will not have an owner in time are refused at once.
     pub ownerless_refusal: PolicySwitch,
-    /// Requests wait for a key that is on the move.
+    /// Requests for a key that is moving between owners wait for the new owner.
     pub move_wait: PolicySwitch,
-    /// Ranges move away from owners that serve nobody for a while and say so.
+    /// Ranges are moved away from owners that request a pause.
     pub pause_moves: PolicySwitch,
-    /// Ranges move away from owners that name a limit, as far as they can't serve them.
+    /// Ranges are moved away from owners whose rate limit is below their load.
     pub limit_moves: PolicySwitch,
-    /// Ranges move to where there is less load.
+    /// Ranges are moved to targets with less load.
     pub load_moves: PolicySwitch,
-    /// All VMs together send a crowded owner what it can answer in time, as the mandate's holder tells.
+    /// The holder of the mandate (leader lease) limits the requests of all VMs to an overloaded owner.
     pub shared_admission: PolicySwitch,
-    /// Owners are weighed by the measured speed of their answers.
+    /// Owners are weighted by their measured latency.
     pub measured_speeds: PolicySwitch,
 }
