--- a/crates/nickellead_gateway/src/packed.rs
+++ b/crates/nickellead_gateway/src/packed.rs
@@ -1,4 +1,4 @@
-//! Messages that are packed once and told many times.
+//! Compressed messages, which are encoded once and sent to several VMs.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -13,77 +13,76 @@
 use nickellead_peer::{FRAME_LIMIT, PeerError};
 use thiserror::Error;
 
-/// Most bytes that one packed message may unpack to: what a VM may tell another without packing.
+/// Most bytes that a packed message may unpack to, which is the limit of an uncompressed frame.
 pub const UNPACKED_LIMIT: usize = FRAME_LIMIT;
 
-/// Level of compression, 0 to 10. For 4,200 routes, level 1 takes 1.6 ms for 104 kB, level 3 takes
-/// 5.7 ms for 92 kB and level 6 takes 10 ms for 88 kB of 249 kB. A message is packed once and told
-/// to several VMs, and at 10 Mbit/s each of them receives it 10 ms sooner at level 3 than at 1.
+/// Compression level from 0 to 10: a compromise between CPU time on the sender and transfer time on
+/// slow links.
 const COMPRESSION_LEVEL: u8 = 3;
 
 /// Why a message could not be packed or unpacked.
 #[derive(Debug, Error)]
 pub enum PackedError {
-    /// The message is no message of this protocol version, or too large.
+    /// The bytes are not a message of this protocol version, or the message is too large.
     #[error(transparent)]
     Message(#[from] PeerError),
     /// The bytes unpack to more than [`UNPACKED_LIMIT`].
-    #[error("packed bytes hold more than {UNPACKED_LIMIT} bytes")]
+    #[error("packed message exceeds {UNPACKED_LIMIT} bytes")]
     TooLarge,
-    /// The bytes are no whole zlib stream, or its checksum does not match.
-    #[error("packed bytes can't be read: {0:?}")]
+    /// The bytes are not a complete zlib stream, or its checksum does not match.
+    #[error("invalid zlib stream: {0:?}")]
     Corrupt(TINFLStatus),
 }
 
 /// A message's bincode bytes as a zlib stream (RFC 1950: deflate with a checksum).
 ///
-/// A copy shares its bytes, and within another message they are a byte string.
+/// Clones share the bytes. Within another message, it is encoded as a byte string.
 pub struct Packed<T> {
     bytes: Bytes,
     message: PhantomData<fn() -> T>,
 }
 
 impl<T> Packed<T> {
-    /// Bytes as they are told.
+    /// Number of compressed bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there are no bytes at all, which is no message.
+    /// Whether there are no bytes, which is never a valid message.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    fn of(bytes: Vec<u8>) -> Self {
+    fn from_bytes(bytes: Vec<u8>) -> Self {
         Self { bytes: Bytes::from(bytes), message: PhantomData }
     }
 }
 
 impl<T: Encode> Packed<T> {
-    /// Packs a message.
+    /// Encodes and compresses a message.
     ///
     /// # Errors
     /// [`PackedError::Message`] when the message exceeds [`UNPACKED_LIMIT`].
     pub fn pack(message: &T) -> Result<Self, PackedError> {
-        let plain = nickellead_peer::encode(message)?;
-        Ok(Self::of(compress_to_vec_zlib(&plain, COMPRESSION_LEVEL)))
+        let encoded = nickellead_peer::encode(message)?;
+        Ok(Self::from_bytes(compress_to_vec_zlib(&encoded, COMPRESSION_LEVEL)))
     }
 }
 
 impl<T: Decode<()>> Packed<T> {
-    /// The message.
+    /// Decompresses and decodes the message.
     ///
     /// # Errors
-    /// [`PackedError`] when the bytes are corrupt, too large or no such message.
+    /// [`PackedError`] if the bytes are corrupt, too large or not a message of this type.
     pub fn unpack(&self) -> Result<T, PackedError> {
-        let plain = decompress_to_vec_zlib_with_limit(&self.bytes, UNPACKED_LIMIT);
-        let plain = plain.map_err(|error| match error.status {
+        let encoded = decompress_to_vec_zlib_with_limit(&self.bytes, UNPACKED_LIMIT);
+        let encoded = encoded.map_err(|error| match error.status {
             TINFLStatus::HasMoreOutput => PackedError::TooLarge,
             status => PackedError::Corrupt(status),
         })?;
-        Ok(nickellead_peer::decode(&plain)?)
+        Ok(nickellead_peer::decode(&encoded)?)
     }
 }
 
@@ -113,7 +112,7 @@
 
 impl<T, Context> Decode<Context> for Packed<T> {
     fn decode<D: Decoder<Context = Context>>(decoder: &mut D) -> Result<Self, DecodeError> {
-        Vec::decode(decoder).map(Self::of)
+        Vec::decode(decoder).map(Self::from_bytes)
     }
 }
 
