--- a/crates/nickellead_gateway/src/port.rs
+++ b/crates/nickellead_gateway/src/port.rs
@@ -1,7 +1,7 @@
-//! The edges of the process: the store of objects, orders to targets, names of headers.
+//! Interfaces to the platform: its object store, orders to targets and header names.
 //!
-//! What implements them only translates; every decision stays in this crate
-//! and in `nickellead_range`.
+//! Implementations only translate between formats; all decisions are made in this crate and in
+//! `nickellead_range`.
 
 use std::time::Duration;
 
@@ -12,44 +12,46 @@
 
 use crate::{Declarations, EvacuatedZones, TargetChange, TargetListing};
 
-/// Why a call of the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// No answer in time: a write may have taken effect, or may yet.
+    /// No response in time: a write may have taken effect, or may still do so.
     #[error("the store did not answer: {0}")]
     NoResponse(String),
-    /// The store refused the call; nothing was done.
+    /// The store refused the call, which had no effect.
     #[error("the store refused the call with status {0}")]
     Refused(u16),
-    /// The object has another revision than the call expected.
+    /// The object's revision differs from the expected one.
     #[error("the object has changed since it was read")]
     Conflict,
-    /// The changes since the asked revision are not kept any more.
-    #[error("the changes since then are forgotten: list anew")]
+    /// The changes since the requested revision are no longer available.
+    #[error("the requested revision was compacted: list again")]
     Compacted,
-    /// The answer can't be read.
-    #[error("the store's answer can't be read: {0}")]
+    /// The response can't be parsed.
+    #[error("the store sent a malformed response: {0}")]
     Malformed(String),
 }
 
-/// What was read, with the store's revision to watch from.
+/// A value read from the store, with the store's revision to watch from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot<T> {
-    /// The store's revision when it was read.
+    /// The store's revision at the time of the read.
     pub as_of: Revision,
-    /// What was read.
+    /// The value as of that revision.
     pub value: T,
 }
 
-/// The store of the platform.
+/// A client of the platform's object store.
 #[allow(async_fn_in_trait, reason = "all parts of a process run on one thread each")]
 pub trait StorePort: 'static {
-    /// The newest era of the store that an answer told.
+    /// The newest era of the store that a response reported; an era ends when the store is restored from
+    /// an older copy.
     ///
-    /// Whatever names a revision of another era than the answer to it tells gets [`StoreError::Forgotten`], or
-    /// [`StoreError::Conflict`] if it writes, though the write may have been done by chance.
+    /// A call that names a revision of another era than its response reports fails with
+    /// [`StoreError::Compacted`], or with [`StoreError::Conflict`] if it is a write. Such a write may
+    /// nevertheless have taken effect.
     fn era(&self) -> StoreEra;
-    /// Answers whose word of the era was odd.
+    /// Number of responses with an invalid era.
     fn invalid_eras(&self) -> u64;
     /// Reads the declarations; `None` while there are none.
     async fn declarations(&self) -> Result<Snapshot<Option<Declarations>>, StoreError>;
@@ -57,7 +59,7 @@
     async fn watch_declarations(
         &self,
         from: Revision,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Snapshot<Option<Declarations>>, StoreError>;
     /// Lists all targets.
     async fn targets(&self) -> Result<Snapshot<TargetListing>, StoreError>;
@@ -65,33 +67,33 @@
     async fn watch_targets(
         &self,
         from: Revision,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Snapshot<Vec<TargetChange>>, StoreError>;
     /// Lists the availability zones that are evacuated.
     async fn evacuations(&self) -> Result<Snapshot<EvacuatedZones>, StoreError>;
-    /// Waits for an evacuation to begin or end; tells whether one did.
+    /// Waits for an evacuation to begin or end; returns whether one did.
     async fn watch_evacuations(
         &self,
         from: Revision,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Snapshot<bool>, StoreError>;
-    /// Reads the map of ranges; `None` while there is none.
+    /// Reads the range map; `None` while there is none.
     async fn ranges(&self) -> Result<Snapshot<Option<Stored<RangeMap>>>, StoreError>;
-    /// Waits for a newer map.
+    /// Waits for a newer range map.
     async fn watch_ranges(
         &self,
         from: Revision,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Snapshot<Option<Stored<RangeMap>>>, StoreError>;
-    /// Writes the map if it has the expected revision; `None` means that it must not exist.
+    /// Writes the range map if it has the expected revision; `None` means that it must not exist.
     async fn write_ranges(
         &self,
         expected: Option<Revision>,
         map: &RangeMap,
     ) -> Result<Revision, StoreError>;
-    /// Reads the mandate from a copy that may be seconds old.
+    /// Reads the mandate (leader lease) from a cached copy, which may be seconds old.
     async fn mandate_cached(&self) -> Result<Option<Stored<MandateRecord>>, StoreError>;
-    /// Reads the mandate as it is.
+    /// Reads the current mandate.
     async fn mandate(&self) -> Result<Option<Stored<MandateRecord>>, StoreError>;
     /// Writes the mandate if it has the expected revision; `None` means that it must not exist.
     async fn write_mandate(
@@ -101,48 +103,48 @@
     ) -> Result<Revision, StoreError>;
 }
 
-/// What a target made of an order.
+/// A target's reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderReply {
-    /// What became of the order.
+    /// Whether and how the order took effect.
     pub outcome: OrderOutcome,
-    /// Whether the answer says that the target leaves.
+    /// Whether the target signalled that it is leaving.
     pub leaving: bool,
 }
 
 impl From<OrderOutcome> for OrderReply {
-    /// The reply of a target that says nothing of itself.
+    /// A reply without a leaving signal.
     fn from(outcome: OrderOutcome) -> Self {
         Self { outcome, leaving: false }
     }
 }
 
-/// Orders about ranges to targets.
+/// A client that sends range orders to targets.
 #[allow(async_fn_in_trait, reason = "all parts of a process run on one thread each")]
 pub trait OrderPort: 'static {
-    /// Sends one order and waits for its answer, `wait` at most.
-    async fn send(&self, order: &RangeOrder, hold: Duration, wait: Duration) -> OrderReply;
+    /// Sends one order and waits up to `timeout` for the reply; a grant is valid for `lease`.
+    async fn send(&self, order: &RangeOrder, lease: Duration, timeout: Duration) -> OrderReply;
 }
 
-/// Names of the headers that the request path reads and writes, in lower case.
+/// Names of the headers that the request path uses, in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of the request; callers choose it, targets return it.
+    /// Identity of the request, which callers choose and targets return.
     pub request_id: &'static str,
-    /// Milliseconds that the caller, or this VM, goes on waiting.
+    /// Milliseconds until the sender stops waiting.
     pub deadline_ms: &'static str,
-    /// Key of a request to a service that is divided by key.
+    /// Key of a request to a sharded service.
     pub shard_key: &'static str,
     /// Identity of the only target that may run the request.
     pub expected_target: &'static str,
-    /// Identity of the target that refuses a request meant for another one.
+    /// Identity of a target that refuses a request for another target.
     pub answering_target: &'static str,
-    /// Marks an answer as made by a target.
+    /// Marks a response as made by a target.
     pub target_proof: &'static str,
-    /// Marks a refusal by a target that did not run the request.
+    /// Marks a refusal of a request that did not run.
     pub not_run: &'static str,
-    /// Marks each answer of a target that leaves.
+    /// Marks each response of a target that is leaving.
     pub leaving: &'static str,
-    /// Requests a second that a target takes from all VMs together, on each of its answers meanwhile.
+    /// Requests a second that a target accepts from all VMs together; sent on each response while limited.
     pub limit: &'static str,
 }
