--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -59,8 +59,7 @@
     let id = HeaderName::from_static(names.request_id);
     let request_id = headers.get(&id).cloned().ok_or(ErrorKind::RequestMalformed)?;
     let deadline = parse_number(&headers, names.deadline_ms)?.map(Duration::from_millis);
-    let caller_age =
-        deadline
+    let caller_age = deadline
         .map_or(Duration::ZERO, |remaining| route.wait_tolerance.observe_remaining(remaining));
     let deadline = arrived_at + deadline.unwrap_or(route.rule.timeout).min(route.rule.timeout);
     let key = parse_number(&headers, names.shard_key)?.map(u16::try_from).transpose();
