--- a/crates/nickellead_gateway/src/response_signals.rs
+++ b/crates/nickellead_gateway/src/response_signals.rs
@@ -1,4 +1,4 @@
-//! Reading what targets tell of themselves on their answers, beside the answers.
+//! Signals that targets attach to responses: leaving, pause and rate limit.
 
 use std::time::Duration;
 
@@ -7,56 +7,50 @@
 
 use crate::HeaderNames;
 
-/// Longest pause that a target can ask for: a longer one counts as this one.
-///
-/// It keeps sums of times in range; a life of a target rarely lasts as long.
-const PAUSE_MOST: Duration = Duration::from_secs(24 * 3_600);
+/// Longest pause that a target can request; longer ones are capped so that sums of times stay in range.
+const MAX_PAUSE: Duration = Duration::from_secs(24 * 3_600);
 
-/// What one answer tells of its target.
+/// The signals of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ResponseSignals {
-    /// Whether the target leaves.
+    /// Whether the target is leaving.
     pub(crate) leaving: bool,
-    /// For how long it wants nothing from this VM.
+    /// How long this VM must not send requests to the target, if it requested a pause.
     pub(crate) pause: Option<Duration>,
-    /// Whether it named a time that can't be read.
+    /// Whether the requested pause can't be parsed.
     pub(crate) unreadable_pause: bool,
-    /// What it says of the requests that it takes.
+    /// The rate limit that the target reports.
     pub(crate) limit: LimitSignal,
 }
 
-/// What an answer says of the requests a second that its target takes from all VMs together.
+/// The rate limit that a response reports, in requests a second from all VMs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum LimitSignal {
-    /// Nothing that counts: no answer of the target came.
+    /// No response of the target was received.
     #[default]
     Absent,
-    /// There is no limit.
+    /// The response reports no limit, so there is none.
     Unlimited,
-    /// So many.
+    /// The limit in requests a second.
     Limited(f64),
-    /// A limit that can't be read, which says nothing.
+    /// The limit can't be parsed and is ignored.
     Unreadable,
 }
 
 impl ResponseSignals {
-    /// Reads them from the head of an answer.
+    /// Reads the signals from the head of a response.
     pub(crate) fn read(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> Self {
-        let told = headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
-        let pause = told.and_then(|value| parse_seconds(value.to_str().ok()?));
-        let unreadable = told.is_some() && pause.is_none();
+        let retry_after =
+            headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
+        let pause = retry_after.and_then(|value| parse_seconds(value.to_str().ok()?));
+        let unreadable_pause = retry_after.is_some() && pause.is_none();
         let limit = LimitSignal::read(names, headers);
-        Self {
-            leaving: signals_leaving(names, headers),
-            pause,
-            unreadable_pause: unreadable,
-            limit,
-        }
+        Self { leaving: signals_leaving(names, headers), pause, unreadable_pause, limit }
     }
 }
 
 impl LimitSignal {
-    /// The limit that it names, or that there is none; nothing if it says nothing.
+    /// The reported limit, with an inner `None` for no limit; `None` if the signal must be ignored.
     pub(crate) fn reported(self) -> Option<Option<f64>> {
         match self {
             Self::Absent | Self::Unreadable => None,
@@ -67,25 +61,25 @@
 
     fn read(names: &HeaderNames, headers: &HeaderMap) -> Self {
         let Some(value) = headers.get(names.limit) else { return Self::Unlimited };
-        let rate = value.to_str().ok().and_then(parse_amount);
+        let rate = value.to_str().ok().and_then(parse_non_negative);
         rate.map_or(Self::Unreadable, Self::Limited)
     }
 }
 
-/// Whether the head of an answer says that its target leaves.
+/// Whether the head of a response signals that its target is leaving.
 #[must_use]
 pub fn signals_leaving(names: &HeaderNames, headers: &HeaderMap) -> bool {
     headers.get(names.leaving).is_some_and(|value| value.as_bytes().trim_ascii() == b"1")
 }
 
-/// A time in seconds, with a fraction or without; `None` when it is none.
+/// Parses a duration in seconds, optionally with a fraction; at most [`MAX_PAUSE`].
 fn parse_seconds(text: &str) -> Option<Duration> {
-    let seconds = parse_amount(text)?;
-    Some(Duration::from_secs_f64(seconds.min(PAUSE_MOST.as_secs_f64())))
+    let seconds = parse_non_negative(text)?;
+    Some(Duration::from_secs_f64(seconds.min(MAX_PAUSE.as_secs_f64())))
 }
 
-/// A decimal number from 0 on; `None` when it is none.
-fn parse_amount(text: &str) -> Option<f64> {
-    let amount: f64 = text.trim().parse().ok()?;
-    (amount.is_finite() && amount >= 0.0).then_some(amount)
+/// Parses a finite decimal number that is not negative.
+fn parse_non_negative(text: &str) -> Option<f64> {
+    let number: f64 = text.trim().parse().ok()?;
+    (number.is_finite() && number >= 0.0).then_some(number)
 }
