--- a/crates/nickellead_gateway/src/retry_budget.rs
+++ b/crates/nickellead_gateway/src/retry_budget.rs
@@ -1,13 +1,13 @@
-//! This VM's share of the retries that all VMs together may make at a service.
+//! Retry budgets, which bound the retries of this VM relative to its requests.
 
 use std::collections::HashMap;
 
-/// Retries earned by one request.
+/// Retries that each request adds to the budget of its service.
 ///
-/// The users allow 0.2 over all VMs; the rest is left for callers who move between VMs.
-const EARNED: f64 = 0.12;
+/// It is below the fleet's overall ratio, because callers may also retry at other VMs.
+const RETRIES_PER_REQUEST: f64 = 0.12;
 
-/// Tokens by service: requests earn them, retries spend them.
+/// A token bucket for each service: requests add tokens, retries take them.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     max_tokens: f64,
@@ -15,23 +15,23 @@
 }
 
 impl RetryBudget {
-    /// Every service starts with `most` tokens and never has more.
-    pub(crate) fn new(most: f64) -> Self {
-        Self { max_tokens: most, tokens: HashMap::new() }
+    /// Each service starts with `max_tokens` and never has more.
+    pub(crate) fn new(max_tokens: f64) -> Self {
+        Self { max_tokens, tokens: HashMap::new() }
     }
 
-    /// Notes the first try of a request.
+    /// Records the first attempt of a request.
     pub(crate) fn record_request(&mut self, service: &str) {
-        let most = self.max_tokens;
+        let max_tokens = self.max_tokens;
         match self.tokens.get_mut(service) {
-            Some(tokens) => *tokens = (*tokens + EARNED).min(most),
+            Some(tokens) => *tokens = (*tokens + RETRIES_PER_REQUEST).min(max_tokens),
             None => {
-                self.tokens.insert(service.to_owned(), most);
+                self.tokens.insert(service.to_owned(), max_tokens);
             }
         }
     }
 
-    /// Takes a token for one retry, if there is one.
+    /// Takes a token for one retry if one is available.
     pub(crate) fn try_take(&mut self, service: &str) -> bool {
         match self.tokens.get_mut(service) {
             Some(tokens) if *tokens >= 1.0 => {
