--- a/crates/nickellead_gateway/src/store_health.rs
+++ b/crates/nickellead_gateway/src/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers this VM.
+//! Health of the store as seen by this VM.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -9,36 +9,36 @@
 use crate::StoreError;
 use crate::metrics::ControlMetrics;
 
-/// Shortest pause after a call that failed.
-const PAUSE_FIRST: Duration = Duration::from_millis(120);
-/// Longest pause after a call that failed; all VMs come back spread over this time.
-const PAUSE_MOST: Duration = Duration::from_millis(900);
-/// Most doublings of [`PAUSE_FIRST`].
-const PAUSE_DOUBLINGS: u32 = 4;
-/// Shortest pause as a part of the longest one: the rest is drawn at random.
-const PAUSE_LEAST: f64 = 0.5;
+/// Initial backoff after a failed call; it doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(120);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(900);
+/// Most doublings of [`INITIAL_BACKOFF`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Fraction of the backoff that is always waited; the rest is random, so that VMs do not retry at once.
+const MIN_BACKOFF_FRACTION: f64 = 0.5;
 
-/// One VM's view of the store's health, shared by all that call it.
+/// Failures and recoveries of the store, shared by everything on this VM that calls it.
 #[derive(Default)]
 pub(crate) struct StoreHealth {
-    /// Calls in a row that failed.
+    /// Consecutive failed calls.
     failures: Cell<u32>,
-    /// When the store last answered again after a failure.
+    /// When the store last recovered.
     recovered_at: Cell<Option<Instant>>,
-    /// When the store last answered.
+    /// When the store last responded.
     last_response: Cell<Option<Instant>>,
-    /// Woken when the store answers again: watches that hang are started anew.
+    /// Notified when the store recovers, so that hanging watches are restarted.
     pub(crate) recovered: Notify,
     metrics: ControlMetrics,
 }
 
 impl StoreHealth {
-    /// A store that was not called yet.
+    /// The state before the first call.
     pub(crate) fn new(metrics: ControlMetrics) -> Self {
         Self { metrics, ..Self::default() }
     }
 
-    /// Notes the outcome of a call.
+    /// Records the result of a call.
     pub(crate) fn record<T>(&self, result: &Result<T, StoreError>) {
         self.metrics.count_store_call(result);
         match result {
@@ -64,20 +64,23 @@
         self.failures.get() > 0
     }
 
-    /// When the store last answered.
+    /// When the store last responded.
     pub(crate) fn last_response(&self) -> Option<Instant> {
         self.last_response.get()
     }
 
-    /// When the store last answered again after a failure.
+    /// When the store last responded again after a failure; `None` if it never failed.
     pub(crate) fn recovered_at(&self) -> Option<Instant> {
         self.recovered_at.get()
     }
 
-    /// Waits before the next call, longer after each failure, spread at random.
+    /// Waits before the next call, with exponential backoff and jitter.
     pub(crate) async fn backoff(&self) {
-        let doubled = PAUSE_FIRST * (1 << self.failures.get().min(PAUSE_DOUBLINGS));
-        let most = doubled.min(PAUSE_MOST);
-        tokio::time::sleep(most.mul_f64(PAUSE_LEAST + fastrand::f64() * (1.0 - PAUSE_LEAST))).await;
+        let doubled = INITIAL_BACKOFF * (1 << self.failures.get().min(MAX_BACKOFF_DOUBLINGS));
+        let max = doubled.min(MAX_BACKOFF);
+        tokio::time::sleep(
+            max.mul_f64(MIN_BACKOFF_FRACTION + fastrand::f64() * (1.0 - MIN_BACKOFF_FRACTION)),
+        )
+        .await;
     }
 }
