--- a/crates/nickellead_gateway/src/store_era.rs
+++ b/crates/nickellead_gateway/src/store_era.rs
@@ -1,6 +1,7 @@
-//! In which era the store is, by what its answers say.
+//! The era of the store, as reported by its responses.
 //!
-//! Answers may cross, and their word may be none: what is odd is counted and logged, and loses nothing.
+//! The store's era increases when it is restored from an older copy. Responses may be reordered or
+//! carry an invalid era; these are counted and logged, but do not change the known era.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -9,19 +10,21 @@
 
 use crate::StoreEra;
 
-/// Eras rise by one; a rise by more than this is no rise, or one odd word would make all later ones fall.
-const RISE_MOST: u64 = 1_000;
+/// Largest increase of the era that is accepted.
+///
+/// After a bogus high value, all later valid ones would appear to decrease.
+const MAX_INCREASE: u64 = 1_000;
 
-/// What was odd about an answer's word of the era.
+/// Why the era of a response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InvalidEra {
-    /// There is none, and there was one before.
+    /// The response has none, although earlier ones had.
     Missing,
-    /// It is no whole number.
+    /// It is not an unsigned integer.
     Unreadable,
-    /// It is lower than one that was known before the call was made.
+    /// It is lower than the era that was known when the call was sent.
     Decreased,
-    /// It rose by more than one.
+    /// It increased by more than one.
     Jumped,
 }
 
@@ -36,78 +39,79 @@
     }
 }
 
-/// The newest era of the store, as one VM's answers tell it.
+/// Tracks the newest era of the store from the responses to one VM.
 #[derive(Debug, Default)]
 pub struct EraMonitor {
     era: Cell<StoreEra>,
-    /// When the era last rose; `None` before a second one was told.
+    /// When the era last increased; `None` while only one was reported.
     increased_at: Cell<Option<Instant>>,
-    /// Whether any answer told an era.
+    /// Whether any response reported an era.
     is_known: Cell<bool>,
     invalid_count: Cell<u64>,
 }
 
 impl EraMonitor {
-    /// The newest era; 0 before one is told.
+    /// The newest era; 0 before one is reported.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.era.get()
     }
 
-    /// Answers whose word of the era was odd.
+    /// Number of responses with an invalid era.
     #[must_use]
     pub fn invalid_count(&self) -> u64 {
         self.invalid_count.get()
     }
 
-    /// Whether the era rose less than this time ago.
+    /// Whether the era increased within this time.
     #[must_use]
     pub fn increased_within(&self, time: Duration) -> bool {
         self.increased_at.get().is_some_and(|risen| risen.elapsed() < time)
     }
 
-    /// Takes in the word of an answer to a call that was made in the era `sent_in`, as far as was known
-    /// then; gives the era of what the answer says.
-    pub fn observe(&self, word: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
-        let Some(word) = word else {
+    /// Observes the era header of a response and returns the era that the response belongs to.
+    ///
+    /// `sent_in` is the era that was known when the call was sent.
+    pub fn observe(&self, header: Option<&[u8]>, sent_in: StoreEra) -> StoreEra {
+        let Some(header) = header else {
             if self.is_known.get() {
                 self.count(InvalidEra::Missing, sent_in);
             }
             return sent_in;
         };
-        let Some(told) = read_era(word) else {
+        let Some(reported) = parse_era(header) else {
             self.count(InvalidEra::Unreadable, sent_in);
             return sent_in;
         };
         let known = self.era.get();
-        if told < sent_in {
-            self.count(InvalidEra::Decreased, told);
+        if reported < sent_in {
+            self.count(InvalidEra::Decreased, reported);
             return sent_in;
         }
-        if told <= known {
-            return told;
+        if reported <= known {
+            return reported;
         }
         if self.is_known.replace(true) {
-            if told.0 - known.0 > 1 {
-                self.count(InvalidEra::Jumped, told);
+            if reported.0 - known.0 > 1 {
+                self.count(InvalidEra::Jumped, reported);
             }
-            if told.0 - known.0 > RISE_MOST {
+            if reported.0 - known.0 > MAX_INCREASE {
                 return sent_in;
             }
             self.increased_at.set(Some(Instant::now()));
         }
-        self.era.set(told);
-        told
+        self.era.set(reported);
+        reported
     }
 
-    fn count(&self, odd: InvalidEra, told: StoreEra) {
+    fn count(&self, reason: InvalidEra, reported: StoreEra) {
         self.invalid_count.set(self.invalid_count.get() + 1);
         let pairs: [(&str, &dyn std::fmt::Display); 3] =
-            [("reason", &odd.as_str()), ("told", &told), ("known", &self.era.get())];
+            [("reason", &reason.as_str()), ("told", &reported), ("known", &self.era.get())];
         log_event(EventName::EraOdd, &pairs);
     }
 }
 
-fn read_era(word: &[u8]) -> Option<StoreEra> {
-    std::str::from_utf8(word).ok()?.trim().parse().ok().map(StoreEra)
+fn parse_era(header: &[u8]) -> Option<StoreEra> {
+    std::str::from_utf8(header).ok()?.trim().parse().ok().map(StoreEra)
 }
