--- a/crates/nickellead_gateway/src/route_table.rs
+++ b/crates/nickellead_gateway/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request, and the part of a split it goes to.
+//! The route table: finds a request's route by host and path prefix, and splits traffic by weight.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -8,13 +8,13 @@
 
 use crate::{Declarations, SharedRoute, WeightedService};
 
-/// A route with the turn of its split.
+/// A route with the state of its weighted split.
 #[derive(Debug)]
 pub(crate) struct RouteEntry {
     pub(crate) rule: SharedRoute,
-    /// Credit of each part: the part with the most credit is next.
+    /// Credit of each service in the split, for smooth weighted round-robin.
     credits: Vec<Cell<f64>>,
-    /// How long its callers wait.
+    /// Estimate of how long its callers wait.
     pub(crate) wait_tolerance: WaitTolerance,
 }
 
@@ -24,23 +24,23 @@
         Self { rule, credits, wait_tolerance: WaitTolerance::default() }
     }
 
-    /// The part that the next request goes to: shares are kept to within one request.
+    /// The service of the next request, by smooth weighted round-robin.
     pub(crate) fn next_service(&self) -> Option<&WeightedService> {
-        let total: f64 = self.rule.split.iter().map(|part| part.weight).sum();
+        let total: f64 = self.rule.split.iter().map(|service| service.weight).sum();
         if total <= 0.0 {
             return self.rule.split.first();
         }
         let mut best = None;
-        for (part, credit) in self.rule.split.iter().zip(&self.credits) {
-            credit.set(credit.get() + part.weight / total);
-            if best.is_none_or(|(_, most)| credit.get() > most) {
-                best = Some((part, credit.get()));
+        for (service, credit) in self.rule.split.iter().zip(&self.credits) {
+            credit.set(credit.get() + service.weight / total);
+            if best.is_none_or(|(_, max)| credit.get() > max) {
+                best = Some((service, credit.get()));
             }
         }
-        let (part, _) = best?;
-        let place = self.rule.split.iter().position(|other| std::ptr::eq(other, part))?;
-        self.credits[place].set(self.credits[place].get() - 1.0);
-        Some(part)
+        let (service, _) = best?;
+        let index = self.rule.split.iter().position(|other| std::ptr::eq(other, service))?;
+        self.credits[index].set(self.credits[index].get() - 1.0);
+        Some(service)
     }
 }
 
@@ -48,13 +48,13 @@
 #[derive(Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, Rc<RouteEntry>>,
-    /// Lengths that prefixes have, longest first.
+    /// Distinct lengths of the prefixes, longest first.
     lengths: Vec<usize>,
 }
 
 impl HostRoutes {
-    /// Adds a route; of two with one prefix the first one by name counts, for VMs know the same routes
-    /// in different orders.
+    /// Adds a route. If two have the same prefix, the first by name wins, because the order of routes
+    /// differs between VMs.
     fn add(&mut self, entry: Rc<RouteEntry>) {
         let prefix = entry.rule.path_prefix.clone();
         self.lengths.push(prefix.len());
@@ -69,7 +69,7 @@
         self.lengths.dedup();
     }
 
-    /// The route with the longest prefix of the path: one look a length, however many routes.
+    /// The route with the longest matching prefix, with one lookup for each prefix length.
     fn find(&self, path: &str) -> Option<&Rc<RouteEntry>> {
         let prefixes = self.lengths.iter().filter_map(|length| path.get(..*length));
         prefixes.filter_map(|prefix| self.by_prefix.get(prefix)).next()
@@ -83,10 +83,9 @@
 }
 
 impl RouteTable {
-    /// Builds the table; routes that did not change keep the turn of their split.
+    /// Builds the table; unchanged routes keep the state of their split.
     ///
-    /// Its time grows with the routes, not with their square: on a VM with a tenth of a core the
-    /// request duty stands still meanwhile.
+    /// It blocks the request thread, so its time must stay linear in the number of routes.
     pub(crate) fn build(declarations: &Declarations, old: &Self) -> Self {
         let known = old.by_name();
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
@@ -107,7 +106,7 @@
         entries.map(|entry| (entry.rule.name.as_str(), entry)).collect()
     }
 
-    /// The route with the longest prefix of the path.
+    /// The route with the longest prefix of the path; the host is compared without case.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<Rc<RouteEntry>> {
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
