--- a/crates/nickellead_gateway/src/state_channels.rs
+++ b/crates/nickellead_gateway/src/state_channels.rs
@@ -1,4 +1,4 @@
-//! What the control duty tells the request duty.
+//! Watch channels from the control thread to the request thread.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::fleet::FleetTable;
 use crate::{Declarations, EvacuatedZones, TargetList};
 
-/// Sending ends; each value replaces the one before it.
+/// Senders of the control thread; each value replaces the previous one.
 pub(crate) struct StateSenders {
     pub(crate) declarations: watch::Sender<Option<Arc<Declarations>>>,
     pub(crate) targets: watch::Sender<Arc<TargetList>>,
@@ -19,7 +19,7 @@
     pub(crate) fleet: watch::Sender<Arc<FleetTable>>,
 }
 
-/// Receiving ends.
+/// Receivers of the request thread.
 #[derive(Clone)]
 pub(crate) struct StateReceivers {
     pub(crate) declarations: watch::Receiver<Option<Arc<Declarations>>>,
@@ -30,22 +30,22 @@
     pub(crate) fleet: watch::Receiver<Arc<FleetTable>>,
 }
 
-/// Joins the two duties.
+/// Creates the channels with empty initial values.
 pub(crate) fn state_channels() -> (StateSenders, StateReceivers) {
-    let (declarations, declared) = watch::channel(None);
-    let (targets, listed) = watch::channel(Arc::default());
-    let (ranges, ranged) = watch::channel(Arc::default());
-    let (admissions, admitted) = watch::channel(Arc::default());
-    let (evacuations, evacuated) = watch::channel(Arc::default());
-    let (fleet, joined) = watch::channel(Arc::default());
+    let (declarations, declarations_receiver) = watch::channel(None);
+    let (targets, targets_receiver) = watch::channel(Arc::default());
+    let (ranges, ranges_receiver) = watch::channel(Arc::default());
+    let (admissions, admissions_receiver) = watch::channel(Arc::default());
+    let (evacuations, evacuations_receiver) = watch::channel(Arc::default());
+    let (fleet, fleet_receiver) = watch::channel(Arc::default());
     let senders = StateSenders { declarations, targets, ranges, admissions, evacuations, fleet };
     let receivers = StateReceivers {
-        declarations: declared,
-        targets: listed,
-        ranges: ranged,
-        admissions: admitted,
-        evacuations: evacuated,
-        fleet: joined,
+        declarations: declarations_receiver,
+        targets: targets_receiver,
+        ranges: ranges_receiver,
+        admissions: admissions_receiver,
+        evacuations: evacuations_receiver,
+        fleet: fleet_receiver,
     };
     (senders, receivers)
 }
