--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that are listed, and how a list changes.
+//! Entries of targets in the store, and changes of the list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,51 +7,52 @@
 use bincode::{Decode, Encode};
 use nickellead_range::TargetInstance;
 
-/// Whether a target stays.
+/// Whether a target accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum TargetState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It is leaving: no new requests.
+    /// It is leaving and gets no new requests.
     Draining,
 }
 
-/// One life of one target.
+/// The entry of one target instance.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TargetEntry {
-    /// Identity; a target that starts again may keep it.
+    /// Identity, which a restarted target may keep.
     pub id: String,
-    /// When it started, as it says itself: with the identity it names one life. `None` for targets that
-    /// never keep an identity.
+    /// When it started, by its own clock. Together with the identity, it names one instance. `None` for
+    /// targets that never reuse an identity.
     pub born: Option<u64>,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Listen address for requests and orders.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests it runs side by side.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it stays.
+    /// State that the target reports.
     pub state: TargetState,
-    /// How much longer it is slow from its start.
+    /// Remaining time during which it is cold after its start.
     pub cold_left: Duration,
 }
 
 impl TargetEntry {
-    /// Whether this life of it leaves, though a later entry of it says otherwise: none comes back from that, but
-    /// the store may forget it.
+    /// Whether this entry is draining and `later` belongs to the same instance.
+    ///
+    /// Draining is final, but a restored store may have lost the draining entry.
     pub(crate) fn left_before(&self, later: &Self) -> bool {
         self.state == TargetState::Draining && self.instance() == later.instance()
     }
 
-    /// This life of it, as an owner of keys.
+    /// The identity of this instance.
     pub(crate) fn instance(&self) -> TargetInstance {
         instance_of(&self.id, self.born, self.address)
     }
 }
 
-/// A life of a target, as an owner of keys.
+/// The identity of a target instance, as stored for owners of keys.
 pub(crate) fn instance_of(id: &str, born: Option<u64>, address: SocketAddr) -> TargetInstance {
     TargetInstance { id: id.to_owned(), born, address: address.to_string() }
 }
@@ -59,25 +60,25 @@
 /// All listed targets by identity.
 pub type TargetList = BTreeMap<String, TargetEntry>;
 
-/// What the store lists.
+/// The store's list of targets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TargetListing {
-    /// The targets.
+    /// Targets with a valid entry.
     pub targets: TargetList,
-    /// Names whose entries can't be read: none of them is a target, whatever it was before.
+    /// Names of invalid entries, which are not targets even if they were before.
     pub unreadable: BTreeSet<String>,
 }
 
-/// Availability zones whose targets are to get no new requests.
+/// Availability zones whose targets must not get new requests.
 pub type EvacuatedZones = BTreeSet<String>;
 
-/// One change of the list.
+/// A change of one entry.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum TargetChange {
-    /// A target is listed, or its entry changed.
+    /// The entry was added or changed.
     Listed(TargetEntry),
-    /// A target's entry is gone.
+    /// The entry of this target was removed.
     Gone(String),
-    /// The entry of this name can't be read, so it names no target.
+    /// The entry of this name is invalid, so it is not a target.
     Unreadable(String),
 }
