--- a/crates/nickellead_gateway/src/waiting.rs
+++ b/crates/nickellead_gateway/src/waiting.rs
@@ -1,15 +1,15 @@
-//! Waiting for something that others bring about.
+//! Waiting for a condition that another task notifies.
 
 use tokio::sync::Notify;
 
-/// Waits until `look` finds something: it looks at once, and again whenever `changed` is woken.
-pub(crate) async fn wait_for<T>(changed: &Notify, look: impl Fn() -> Option<T>) -> T {
+/// Waits until `check` returns a value; it is called at once and after each notification of `changed`.
+pub(crate) async fn wait_for<T>(changed: &Notify, check: impl Fn() -> Option<T>) -> T {
     loop {
-        // Listening starts before the look, so that no change in between is missed.
-        let woken = changed.notified();
-        if let Some(found) = look() {
-            return found;
+        // Registers before the check, so that no notification in between is lost.
+        let notified = changed.notified();
+        if let Some(value) = check() {
+            return value;
         }
-        woken.await;
+        notified.await;
     }
 }
