--- a/crates/nickellead_gateway/src/book/declared.rs
+++ b/crates/nickellead_gateway/src/book/declared.rs
@@ -38,7 +38,7 @@
         let step = known.and_then(|known| make_step(known, new));
         match step {
             Some(step) => self.history.push(step),
-            None => self.history.restart(new.state()),
+            None => self.history.reset(new.state()),
         }
         self.whole = None;
     }
--- a/crates/nickellead_gateway/src/declared/change.rs
+++ b/crates/nickellead_gateway/src/declared/change.rs
@@ -1,4 +1,4 @@
-//! What changed from one content of declarations to another.
+//! Differences between two versions of the declarations.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -7,34 +7,34 @@
 
 use super::{CallerLimits, Declarations, ServiceRule, SharedRoute};
 
-/// What changed from one content of declarations to another.
+/// The difference between two versions of the declarations.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct DeclarationsChange {
-    /// The content that it changes.
+    /// The state that the change applies to.
     pub from: DeclaredState,
-    /// The content that results.
+    /// The state after the change.
     pub to: DeclaredState,
     /// Names of routes that are no longer declared.
     pub removed: Vec<String>,
-    /// Routes that are new or differ from the one of the same name.
+    /// Routes that were added or changed.
     pub set: Vec<SharedRoute>,
-    /// All services, if any of them changed.
+    /// The complete set of services, if any of them changed.
     pub services: Option<BTreeMap<String, ServiceRule>>,
     /// The limits, if any of them changed.
     pub limits: Option<CallerLimits>,
 }
 
 impl DeclarationsChange {
-    /// The change from `old` to `new`; none when names of routes are not unique in either.
+    /// The change from `old` to `new`; `None` if route names are not unique in either.
     #[must_use]
     pub fn between(old: &Declarations, new: &Declarations) -> Option<Self> {
-        let known = routes_by_name(&old.routes)?;
-        let wanted = routes_by_name(&new.routes)?;
-        let removed = old.routes.iter().filter(|route| !wanted.contains_key(route.name.as_str()));
-        let set = new
-            .routes
-            .iter()
-            .filter(|route| known.get(route.name.as_str()).is_none_or(|known| *known != *route));
+        let old_routes = routes_by_name(&old.routes)?;
+        let new_routes = routes_by_name(&new.routes)?;
+        let removed =
+            old.routes.iter().filter(|route| !new_routes.contains_key(route.name.as_str()));
+        let set = new.routes.iter().filter(|route| {
+            old_routes.get(route.name.as_str()).is_none_or(|old_route| *old_route != *route)
+        });
         Some(Self {
             from: old.state(),
             to: new.state(),
@@ -45,21 +45,21 @@
         })
     }
 
-    /// The declarations after the change: changed routes keep their place, new ones come last.
+    /// The declarations after the change; changed routes keep their position, new ones are appended.
     ///
     /// # Errors
-    /// [`ChangeError`] when the change is from another content or leads to a wrong one.
+    /// [`ChangeError`] if the change applies to another state or does not result in the stated one.
     pub fn apply(&self, old: &Declarations) -> Result<Declarations, ChangeError> {
         self.check_base(old.state())?;
         self.applied_to(old.clone())
     }
 
-    /// Checks that the change is from the content known.
+    /// Checks that the change applies to the known state.
     pub(super) fn check_base(&self, known: DeclaredState) -> Result<(), ChangeError> {
         ChangeError::check_base(self.from, known)
     }
 
-    /// Changes declarations whose state was checked by the caller.
+    /// Applies the change to declarations whose state was checked with [`Self::check_base`].
     pub(super) fn applied_to(&self, old: Declarations) -> Result<Declarations, ChangeError> {
         let Declarations { mut routes, services, limits, version: _ } = old;
         self.change_routes(&mut routes);
@@ -88,7 +88,7 @@
     }
 }
 
-/// The routes by name; none when two have the same name.
+/// The routes by name; `None` if two have the same name.
 fn routes_by_name(routes: &[SharedRoute]) -> Option<HashMap<&str, &SharedRoute>> {
     let by_name: HashMap<&str, &SharedRoute> =
         routes.iter().map(|route| (route.name.as_str(), route)).collect();
--- a/crates/nickellead_gateway/src/declared/history.rs
+++ b/crates/nickellead_gateway/src/declared/history.rs
@@ -1,42 +1,40 @@
-//! The last changes of declarations, for VMs that know an earlier content.
+//! History of recent changes of the declarations, for VMs that know an earlier version.
 
 use std::collections::VecDeque;
 
 use super::{DeclarationsChange, DeclaredState};
 use crate::packed::{Packed, PackedError};
 
-/// Most steps kept: a VM follows within seconds of each change, so one that lacks more than this
-/// was away and is better served by a whole copy; each step also costs it a digest of all routes.
+/// Most steps in the history; a VM that is further behind gets a full copy.
 pub const HISTORY_STEPS: usize = 32;
 
-/// Most bytes of all steps kept: about a packed copy of 5,000 routes, the most that are declared.
-/// A chain of steps that is larger would save nothing.
+/// Most compressed bytes of all steps, about as many as a full copy of the largest declarations has.
 pub const HISTORY_BYTES: usize = 112 * 1024;
 
-/// One change as it is told, with the contents that it joins.
+/// One change in compressed form, with the states before and after it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeclaredStep {
-    /// The content that it changes.
+    /// The state that the change applies to.
     pub from: DeclaredState,
-    /// The content that results.
+    /// The state after the change.
     pub to: DeclaredState,
-    /// The change.
+    /// The compressed change.
     pub packed: Packed<DeclarationsChange>,
 }
 
 impl DeclaredStep {
-    /// Packs a change to be told.
+    /// Compresses a change.
     ///
     /// # Errors
-    /// [`PackedError`] when the change is too large to be told.
+    /// [`PackedError`] if the change is too large for a message.
     pub fn pack(change: &DeclarationsChange) -> Result<Self, PackedError> {
         Ok(Self { from: change.from, to: change.to, packed: Packed::pack(change)? })
     }
 }
 
-/// The last steps to the newest content, within [`HISTORY_STEPS`] and [`HISTORY_BYTES`].
+/// The last steps to the newest state, within [`HISTORY_STEPS`] and [`HISTORY_BYTES`].
 ///
-/// The steps kept are always contiguous, and the last one leads to the newest content.
+/// The steps are contiguous, and the last one results in the newest state.
 #[derive(Clone, Debug, Default)]
 pub struct DeclarationsHistory {
     newest: Option<DeclaredState>,
@@ -45,21 +43,21 @@
 }
 
 impl DeclarationsHistory {
-    /// The newest content; none before the first.
+    /// The newest state; `None` while the history is empty.
     #[must_use]
     pub fn newest(&self) -> Option<DeclaredState> {
         self.newest
     }
 
-    /// Forgets all steps: the newest content was not reached from the one before.
-    pub fn restart(&mut self, newest: DeclaredState) {
+    /// Drops all steps, because `newest` was not reached by a step.
+    pub fn reset(&mut self, newest: DeclaredState) {
         *self = Self { newest: Some(newest), ..Self::default() };
     }
 
-    /// Takes the step to a new content; earlier ones are forgotten when it does not follow them.
+    /// Appends a step; earlier ones are dropped if it does not follow them.
     pub fn push(&mut self, step: DeclaredStep) {
         if self.newest != Some(step.from) {
-            self.restart(step.from);
+            self.reset(step.from);
         }
         self.newest = Some(step.to);
         self.bytes += step.packed.len();
@@ -70,7 +68,7 @@
         }
     }
 
-    /// The shortest chain of steps from a content to the newest; none when it is not kept.
+    /// The shortest chain of steps from a state to the newest; `None` if it is not in the history.
     #[must_use]
     pub fn since(&self, from: DeclaredState) -> Option<Vec<Packed<DeclarationsChange>>> {
         let first = if self.newest == Some(from) {
--- a/crates/nickellead_gateway/src/declared/mod.rs
+++ b/crates/nickellead_gateway/src/declared/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare, as the request path reads it.
+//! Declarations of operators: routes, services and limits for callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,45 +26,45 @@
     pub routes: Vec<SharedRoute>,
     /// Services by name.
     pub services: BTreeMap<String, ServiceRule>,
-    /// What callers may send.
+    /// Limits for requests of callers.
     pub limits: CallerLimits,
 }
 
-/// One service.
+/// Rules of one service.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ServiceRule {
-    /// Connections that one of its targets takes from all VMs together.
+    /// Most connections that one of its targets accepts from all VMs together.
     pub connections: u32,
-    /// Whether each key is owned by one target.
+    /// Whether requests have keys, each of which is owned by one target.
     pub sharded: bool,
-    /// What its targets bear after a start; `None` if that is not bounded.
+    /// Limit for its targets after a start; `None` for no limit.
     pub cold: Option<ColdRule>,
 }
 
-/// What a target bears while it is cold.
+/// Limit for a target while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct ColdRule {
-    /// How long it is cold after a start.
+    /// How long a target is cold after a start.
     pub duration: Duration,
-    /// Requests a second that it bears meanwhile.
+    /// Requests a second that a cold target can serve.
     pub rate: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits for the size and duration of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Most bytes of a request head.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Most bytes of a request body.
     pub body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Timeout for receiving a request head.
     pub header_timeout: Duration,
-    /// How long a connection may rest.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// The limits until declarations arrive.
+    /// The limits that apply before declarations are received.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
--- a/crates/nickellead_gateway/src/declared/route.rs
+++ b/crates/nickellead_gateway/src/declared/route.rs
@@ -14,60 +14,60 @@
 /// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RepeatClass {
-    /// It may: reads and the like.
+    /// It may, as with reads.
     Safe,
-    /// It may run once at most.
+    /// It must run at most once.
     Unsafe,
 }
 
 /// One route: which requests go to which services, and how.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RouteRule {
-    /// Name of the route.
+    /// Name of the route, by which changes refer to it.
     pub name: String,
-    /// Host that callers name.
+    /// Host of the requests, without a port.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub path_prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether its requests may be run more than once.
     pub repeat: RepeatClass,
-    /// Longest time a request may be held.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency within which a response counts as on time.
     pub latency_target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most targets that one request may be sent to.
+    /// Most attempts for one request, each at another target.
     pub attempts: u32,
-    /// Services with their shares of the requests.
+    /// Services among which the requests are split by weight.
     pub split: Vec<WeightedService>,
 }
 
-/// One service's share of a route.
+/// A service in the traffic split of a route.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share beside the other parts' weights.
+    /// Its weight, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
-/// A route that several contents of declarations, and tables made of them, have in common.
+/// A route shared by several versions of the declarations and by route tables, copied on write.
 ///
-/// Most versions change few of thousands of routes: the others are neither copied nor compared nor
-/// digested anew. To change one that is shared is to make a copy of it.
+/// Most versions change few of thousands of routes; the others need not be copied, compared or
+/// digested again.
 #[derive(Clone, Debug)]
 pub struct SharedRoute(Arc<DigestedRoute>);
 
 #[derive(Clone, Debug)]
 struct DigestedRoute {
     rule: RouteRule,
-    /// Digest of the rule, once it was asked for.
+    /// Digest of the rule, computed on first use.
     digest: OnceLock<u64>,
 }
 
 impl SharedRoute {
-    /// Digest of the rule.
+    /// Digest of the rule, computed once.
     #[must_use]
     pub fn digest(&self) -> u64 {
         *self.0.digest.get_or_init(|| digest_of(&self.0.rule))
@@ -96,7 +96,7 @@
     }
 }
 
-/// The digests are compared as well: unlike for `==` of rules, 0.0 and -0.0 are two weights.
+/// Digests are compared as well, because 0.0 and -0.0 are equal weights but encoded differently.
 impl PartialEq for SharedRoute {
     fn eq(&self, other: &Self) -> bool {
         let same = || self.digest() == other.digest() && self.0.rule == other.0.rule;
--- a/crates/nickellead_gateway/src/declared/updates.rs
+++ b/crates/nickellead_gateway/src/declared/updates.rs
@@ -1,4 +1,4 @@
-//! What one VM tells another of the declarations.
+//! Updates of the declarations that VMs send to each other.
 
 use bincode::{Decode, Encode};
 use thiserror::Error;
@@ -8,46 +8,47 @@
 };
 use crate::packed::{Packed, PackedError};
 
-/// What one VM tells another of the declarations.
+/// An update of the declarations from another VM.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DeclaredUpdate {
-    /// The changes since a content that the other VM knows, in order.
+    /// The changes since the state that the subscriber knows, in order.
     Steps(Vec<Packed<DeclarationsChange>>),
-    /// All declarations.
+    /// A full copy of the declarations.
     Full(Packed<Declarations>),
 }
 
-/// Why news can't be applied; what was known stays in force.
+/// Why an update can't be applied; the known declarations stay active.
 #[derive(Debug, Error)]
 pub enum UpdateError {
-    /// There are only changes, and nothing is known that they could change.
-    #[error("changes of declarations, of which none are known")]
+    /// The update contains changes, but no declarations are known yet.
+    #[error("received changes of declarations before any declarations")]
     NoBase,
-    /// A part of the news can't be read.
+    /// A message in the update can't be unpacked.
     #[error(transparent)]
     Packed(#[from] PackedError),
-    /// A change does not follow what was known or told before it.
+    /// A change does not apply to the state before it.
     #[error(transparent)]
     Change(#[from] ChangeError),
 }
 
-/// Declarations that result from news.
+/// The result of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedUpdate {
-    /// The declarations.
+    /// The declarations after the update.
     pub declarations: Declarations,
-    /// Their state.
+    /// Version and digest of these declarations.
     pub state: DeclaredState,
-    /// The steps that led to them, to be told on; none after a whole copy.
+    /// The steps that led to them, for this VM's own subscribers; empty after a full copy.
     pub steps: Vec<DeclaredStep>,
 }
 
 impl DeclaredUpdate {
-    /// Applies the news to the declarations known. Whether they are wanted is the caller's concern:
-    /// a whole copy may well be older than what is known.
+    /// Applies the update to the known declarations.
+    ///
+    /// The result may be older than `known` after a full copy, which the caller must check.
     ///
     /// # Errors
-    /// [`UpdateError`] when any part can't be read or does not lead where it says.
+    /// [`UpdateError`] if a message can't be unpacked or a change does not apply.
     pub fn apply(&self, known: Option<&Declarations>) -> Result<AppliedUpdate, UpdateError> {
         match self {
             Self::Full(packed) => {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Copies the declarations known once and changes the copy step by step.
+/// Applies all changes to one copy of the known declarations.
 fn apply_steps(
     known: &Declarations,
     changes: &[Packed<DeclarationsChange>],
@@ -82,13 +83,13 @@
 }
 
 impl DeclarationsHistory {
-    /// Takes news that were applied, so that the same bytes can be told on.
+    /// Appends the steps of an applied update, so that the same bytes can be forwarded.
     pub fn apply_update(&mut self, applied: &AppliedUpdate) {
         for step in &applied.steps {
             self.push(step.clone());
         }
         if self.newest() != Some(applied.state) {
-            self.restart(applied.state);
+            self.reset(applied.state);
         }
     }
 }
--- a/crates/nickellead_gateway/tests/declared_changes.rs
+++ b/crates/nickellead_gateway/tests/declared_changes.rs
@@ -160,7 +160,7 @@
 fn a_history_forgets_what_exceeds_its_limits() {
     let contents: Vec<_> = (0..HISTORY_STEPS as u64 + 2).map(|version| many(version, 4)).collect();
     let mut history = DeclarationsHistory::default();
-    history.restart(contents[0].state());
+    history.reset(contents[0].state());
     assert_eq!(history.since(contents[0].state()), Some(Vec::new()));
     for pair in contents.windows(2) {
         history.push(step(&pair[0], &pair[1]));
