--- a/crates/nickellead_gateway/src/metrics/control.rs
+++ b/crates/nickellead_gateway/src/metrics/control.rs
@@ -1,4 +1,4 @@
-//! What the control duty counts.
+//! Metrics of the control loop.
 
 use nickellead_range::{OrderKind, OrderOutcome};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -10,7 +10,7 @@
 use crate::{StoreEra, StoreError};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct AnswerLabel {
+struct StoreCallLabels {
     answer: &'static str,
 }
 
@@ -20,38 +20,46 @@
     outcome: &'static str,
 }
 
-/// The control duty's counters and its one gauge.
+/// Metrics of the control loop, shared with the request thread, which serves them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlMetrics {
     /// 1 while this VM may order targets.
     pub(crate) mandate: Gauge,
-    store_calls: Family<AnswerLabel, Counter>,
+    store_calls: Family<StoreCallLabels, Counter>,
     orders: Family<OrderLabels, Counter>,
-    /// The newest era of the store that this VM heard of.
+    /// The newest known era of the store.
     store_era: Gauge,
-    /// Answers of the store whose word of the era was odd.
-    store_eras_odd: Gauge,
+    /// Number of responses of the store with an invalid era.
+    store_invalid_eras: Gauge,
 }
 
 impl ControlMetrics {
-    /// Registers the figures.
+    /// Registers all metrics.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let mandate = self.mandate.clone();
         registry.register("mandate_held", "1 while this VM may order targets", mandate);
-        registry.register("store_calls", "Calls of the store", self.store_calls.clone());
-        let (era, odd) = (self.store_era.clone(), self.store_eras_odd.clone());
-        registry.register("store_era", "Rises when the store comes back from an older copy", era);
-        registry.register("store_eras_odd", "Answers that tell no era, or one that can't be", odd);
-        registry.register("orders", "Orders to targets", self.orders.clone());
+        registry.register("store_calls", "Calls to the store by result", self.store_calls.clone());
+        let (era, invalid) = (self.store_era.clone(), self.store_invalid_eras.clone());
+        registry.register(
+            "store_era",
+            "Era of the store, which increases when the store is restored from an older copy",
+            era,
+        );
+        registry.register(
+            "store_eras_odd",
+            "Responses of the store with a missing or invalid era",
+            invalid,
+        );
+        registry.register("orders", "Orders to targets by kind and outcome", self.orders.clone());
     }
 
-    /// Notes the store's era, and how many answers told it oddly.
-    pub(crate) fn set_era(&self, era: StoreEra, odd: u64) {
+    /// Sets the store's era and the number of responses with an invalid one.
+    pub(crate) fn set_era(&self, era: StoreEra, invalid: u64) {
         self.store_era.set(era.0 as i64);
-        self.store_eras_odd.set(odd as i64);
+        self.store_invalid_eras.set(invalid as i64);
     }
 
-    /// Counts a call of the store.
+    /// Counts a call to the store by its result.
     pub(crate) fn count_store_call<T>(&self, result: &Result<T, StoreError>) {
         let answer = match result {
             Ok(_) => "done",
@@ -61,10 +69,10 @@
             Err(StoreError::NoResponse(_)) => "silent",
             Err(StoreError::Malformed(_)) => "malformed",
         };
-        self.store_calls.get_or_create(&AnswerLabel { answer }).inc();
+        self.store_calls.get_or_create(&StoreCallLabels { answer }).inc();
     }
 
-    /// Counts an order to a target.
+    /// Counts an order to a target by kind and outcome.
     pub(crate) fn count_order(&self, kind: &OrderKind, outcome: &OrderOutcome) {
         let labels = OrderLabels { order: kind.as_str(), outcome: outcome.as_str() };
         self.orders.get_or_create(&labels).inc();
--- a/crates/nickellead_gateway/src/metrics/mod.rs
+++ b/crates/nickellead_gateway/src/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Counters, gauges and histograms of one VM.
+//! Prometheus metrics of one VM.
 //!
-//! Label sets are bounded: services, and closed lists of answers and errors.
+//! Label values are bounded: names of services, and fixed sets of results and errors.
 
 mod control;
 mod requests;
--- a/crates/nickellead_gateway/src/metrics/requests.rs
+++ b/crates/nickellead_gateway/src/metrics/requests.rs
@@ -1,4 +1,4 @@
-//! What the request duty counts.
+//! Metrics of the request thread.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 10] = [0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
-/// Label of requests that end before a service is chosen.
+/// Value of the `service` label for requests that end before a service is selected.
 const NO_SERVICE: &str = "-";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct SignLabel {
+struct SignalLabel {
     sign: &'static str,
 }
 
@@ -33,7 +33,7 @@
     outcome: &'static str,
 }
 
-/// What the request duty counts.
+/// Metrics of the request thread.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayMetrics {
     pub(crate) requests: Counter,
@@ -45,14 +45,14 @@
     pub(crate) config_version: Gauge,
     pub(crate) config_age: Gauge<f64, std::sync::atomic::AtomicU64>,
     pub(crate) targets_age: Gauge<f64, std::sync::atomic::AtomicU64>,
-    answers: Histogram,
+    response_latency: Histogram,
     errors: Family<ErrorLabel, Counter>,
     outcomes: Family<OutcomeLabels, Counter>,
-    signs: Family<SignLabel, Counter>,
+    signals: Family<SignalLabel, Counter>,
 }
 
 impl GatewayMetrics {
-    /// Makes the figures and registers them.
+    /// Creates and registers all metrics.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             requests: Counter::default(),
@@ -64,59 +64,83 @@
             config_version: Gauge::default(),
             config_age: Gauge::default(),
             targets_age: Gauge::default(),
-            answers: Histogram::new(LATENCY_BUCKETS),
+            response_latency: Histogram::new(LATENCY_BUCKETS),
             errors: Family::default(),
             outcomes: Family::default(),
-            signs: Family::default(),
+            signals: Family::default(),
         };
         registry.register("requests", "Requests of callers", metrics.requests.clone());
-        registry.register("retries", "Tries after the first one", metrics.retries.clone());
+        registry.register(
+            "retries",
+            "Attempts after the first one of a request",
+            metrics.retries.clone(),
+        );
         let opened = metrics.connections.clone();
-        registry.register("target_connections_opened", "Opened to targets that are listed", opened);
-        let told = "Listed targets that told this VM that they leave";
-        registry.register("targets_leaving", told, metrics.leaving.clone());
-        let told = "Listed targets that told this VM that they want nothing now";
-        registry.register("targets_paused", told, metrics.paused.clone());
-        let told = "Listed targets that named this VM a limit of requests a second";
-        registry.register("targets_limited", told, metrics.limited.clone());
+        registry.register(
+            "target_connections_opened",
+            "Connections opened to listed targets",
+            opened,
+        );
+        let help = "Listed targets that signalled this VM that they are leaving";
+        registry.register("targets_leaving", help, metrics.leaving.clone());
+        let help = "Listed targets that requested a pause from this VM";
+        registry.register("targets_paused", help, metrics.paused.clone());
+        let help = "Listed targets that reported a rate limit to this VM";
+        registry.register("targets_limited", help, metrics.limited.clone());
         let version = metrics.config_version.clone();
-        registry.register("config_version", "Declarations in force", version);
+        registry.register("config_version", "Version of the active declarations", version);
         let age = metrics.config_age.clone();
-        registry.register("config_age_seconds", "Since declarations were taken over", age);
+        registry.register(
+            "config_age_seconds",
+            "Time since the declarations were last updated",
+            age,
+        );
         let age = metrics.targets_age.clone();
-        registry.register("targets_age_seconds", "Since a list of targets was taken over", age);
-        registry.register("answer_seconds", "Time to a target's answer", metrics.answers.clone());
-        registry.register("errors", "Requests ended by this VM", metrics.errors.clone());
+        registry.register(
+            "targets_age_seconds",
+            "Time since the list of targets was last updated",
+            age,
+        );
+        registry.register(
+            "answer_seconds",
+            "Latency of responses of targets",
+            metrics.response_latency.clone(),
+        );
+        registry.register(
+            "errors",
+            "Requests that ended with an error of this VM, by error",
+            metrics.errors.clone(),
+        );
         registry.register("outcomes", "Requests by service and outcome", metrics.outcomes.clone());
-        let signs = metrics.signs.clone();
-        registry.register("target_signs", "Answers by what they tell of their target", signs);
+        let signals = metrics.signals.clone();
+        registry.register("target_signs", "Responses of targets by signal", signals);
         metrics
     }
 
-    /// Counts an answer of a target that was passed on.
-    pub(crate) fn record_response(&self, service: &str, length: Duration) {
-        self.answers.observe(length.as_secs_f64());
+    /// Records a target's response that was forwarded to the caller.
+    pub(crate) fn record_response(&self, service: &str, latency: Duration) {
+        self.response_latency.observe(latency.as_secs_f64());
         self.count_outcome(service, "answered");
     }
 
-    /// Counts a request that this VM ended itself.
+    /// Counts a request that ended with an error of this VM.
     pub(crate) fn count_error(&self, kind: ErrorKind, service: Option<&str>) {
-        let answer = kind.response();
-        self.errors.get_or_create(&ErrorLabel { error: answer.code }).inc();
-        self.count_outcome(service.unwrap_or(NO_SERVICE), answer.outcome.as_str());
+        let response = kind.response();
+        self.errors.get_or_create(&ErrorLabel { error: response.code }).inc();
+        self.count_outcome(service.unwrap_or(NO_SERVICE), response.outcome.as_str());
     }
 
-    /// Counts an answer that tells something of its target.
-    pub(crate) fn count_signals(&self, signs: ResponseSignals) {
-        let told = [
-            ("leaving", signs.leaving),
-            ("pause", signs.pause.is_some()),
-            ("unreadable-pause", signs.unreadable_pause),
-            ("limit", matches!(signs.limit, LimitSignal::Limited(_))),
-            ("unreadable-limit", signs.limit == LimitSignal::Unreadable),
+    /// Counts the signals of a response.
+    pub(crate) fn count_signals(&self, signals: ResponseSignals) {
+        let signalled = [
+            ("leaving", signals.leaving),
+            ("pause", signals.pause.is_some()),
+            ("unreadable-pause", signals.unreadable_pause),
+            ("limit", matches!(signals.limit, LimitSignal::Limited(_))),
+            ("unreadable-limit", signals.limit == LimitSignal::Unreadable),
         ];
-        for (sign, _) in told.into_iter().filter(|(_, told)| *told) {
-            self.signs.get_or_create(&SignLabel { sign }).inc();
+        for (sign, _) in signalled.into_iter().filter(|(_, is_set)| *is_set) {
+            self.signals.get_or_create(&SignalLabel { sign }).inc();
         }
     }
 
