--- a/crates/nickellead_gateway/src/declared/change.rs
+++ b/crates/nickellead_gateway/src/declared/change.rs
@@ -45,7 +45,8 @@
         })
     }
 
-    /// The declarations after the change; changed routes keep their position, new ones are appended.
+    /// The declarations after the change; changed routes keep their position, new ones are
+    /// appended.
     ///
     /// # Errors
     /// [`ChangeError`] if the change applies to another state or does not result in the stated one.
--- a/crates/nickellead_gateway/src/declared/history.rs
+++ b/crates/nickellead_gateway/src/declared/history.rs
@@ -6,10 +6,11 @@
 use crate::packed::{Packed, PackedError};
 
 /// Most steps in the history; a VM that is further behind gets a full copy.
-pub const HISTORY_STEPS: usize = 32;
+pub const MAX_HISTORY_STEPS: usize = 32;
 
-/// Most compressed bytes of all steps, about as many as a full copy of the largest declarations has.
-pub const HISTORY_BYTES: usize = 112 * 1024;
+/// Most compressed bytes of all steps, about as many as a full copy of the largest declarations
+/// has.
+pub const MAX_HISTORY_BYTES: usize = 112 * 1024;
 
 /// One change in compressed form, with the states before and after it.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +33,7 @@
     }
 }
 
-/// The last steps to the newest state, within [`HISTORY_STEPS`] and [`HISTORY_BYTES`].
+/// The last steps to the newest state, within [`MAX_HISTORY_STEPS`] and [`MAX_HISTORY_BYTES`].
 ///
 /// The steps are contiguous, and the last one results in the newest state.
 #[derive(Clone, Debug, Default)]
@@ -62,7 +63,7 @@
         self.newest = Some(step.to);
         self.bytes += step.packed.len();
         self.steps.push_back(step);
-        while self.steps.len() > HISTORY_STEPS || self.bytes > HISTORY_BYTES {
+        while self.steps.len() > MAX_HISTORY_STEPS || self.bytes > MAX_HISTORY_BYTES {
             let Some(oldest) = self.steps.pop_front() else { break };
             self.bytes -= oldest.packed.len();
         }
--- a/crates/nickellead_gateway/src/declared/mod.rs
+++ b/crates/nickellead_gateway/src/declared/mod.rs
@@ -12,7 +12,7 @@
 mod updates;
 
 pub use change::DeclarationsChange;
-pub use history::{DeclarationsHistory, DeclaredStep, HISTORY_BYTES, HISTORY_STEPS};
+pub use history::{DeclarationsHistory, DeclaredStep, MAX_HISTORY_BYTES, MAX_HISTORY_STEPS};
 pub use nickellead_peer::{ChangeError, DeclaredState};
 pub use route::{RepeatClass, RouteRule, SharedRoute, WeightedService};
 pub use updates::{AppliedUpdate, DeclaredUpdate, UpdateError};
--- a/crates/nickellead_gateway/src/lib.rs
+++ b/crates/nickellead_gateway/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`start_gateway`] starts two threads. The request thread serves callers from cached state. The
 //! control thread watches the platform's store, publishes changes to the request thread and, on the
-//! VM that holds the mandate (leader lease), assigns each range of keys to one owner. The threads are
-//! connected by watch channels, which keep only the latest value.
+//! VM that holds the mandate (leader lease), assigns each range of keys to one owner. The threads
+//! are connected by watch channels, which keep only the latest value.
 //!
 //! The traits of the `port` module translate the platform's terms.
 
@@ -42,13 +42,14 @@
 pub use book::{RangesHistory, RangesNews, RangesStep, StepsMisfit};
 pub use declared::{
     AppliedUpdate, CallerLimits, ChangeError, ColdRule, Declarations, DeclarationsChange,
-    DeclarationsHistory, DeclaredState, DeclaredStep, DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS,
-    RepeatClass, RouteRule, ServiceRule, SharedRoute, UpdateError, WeightedService,
+    DeclarationsHistory, DeclaredState, DeclaredStep, DeclaredUpdate, MAX_HISTORY_BYTES,
+    MAX_HISTORY_STEPS, RepeatClass, RouteRule, ServiceRule, SharedRoute, UpdateError,
+    WeightedService,
 };
 pub use nickellead_range::{MandateRecord, Revision, StoreEra, Stored};
 pub use node::{GatewayError, GatewayHandle, start_gateway};
 pub use order_client::{CallFailure, OrderClient};
-pub use packed::{Packed, PackedError, UNPACKED_LIMIT};
+pub use packed::{MAX_UNPACKED_BYTES, Packed, PackedError};
 pub use policy::{PolicySettings, PolicySwitch};
 pub use port::{HeaderNames, OrderPort, OrderReply, Snapshot, StoreError, StorePort};
 pub use response_signals::signals_leaving;
--- a/crates/nickellead_gateway/src/packed.rs
+++ b/crates/nickellead_gateway/src/packed.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 /// Most bytes that a packed message may unpack to, which is the limit of an uncompressed frame.
-pub const UNPACKED_LIMIT: usize = FRAME_LIMIT;
+pub const MAX_UNPACKED_BYTES: usize = FRAME_LIMIT;
 
 /// Compression level from 0 to 10: a compromise between CPU time on the sender and transfer time on
 /// slow links.
@@ -26,8 +26,8 @@
     /// The bytes are not a message of this protocol version, or the message is too large.
     #[error(transparent)]
     Message(#[from] PeerError),
-    /// The bytes unpack to more than [`UNPACKED_LIMIT`].
-    #[error("packed message exceeds {UNPACKED_LIMIT} bytes")]
+    /// The bytes unpack to more than [`MAX_UNPACKED_BYTES`].
+    #[error("packed message exceeds {MAX_UNPACKED_BYTES} bytes")]
     TooLarge,
     /// The bytes are not a complete zlib stream, or its checksum does not match.
     #[error("invalid zlib stream: {0:?}")]
@@ -64,7 +64,7 @@
     /// Encodes and compresses a message.
     ///
     /// # Errors
-    /// [`PackedError::Message`] when the message exceeds [`UNPACKED_LIMIT`].
+    /// [`PackedError::Message`] when the message exceeds [`MAX_UNPACKED_BYTES`].
     pub fn pack(message: &T) -> Result<Self, PackedError> {
         let encoded = nickellead_peer::encode(message)?;
         Ok(Self::from_bytes(compress_to_vec_zlib(&encoded, COMPRESSION_LEVEL)))
@@ -77,7 +77,7 @@
     /// # Errors
     /// [`PackedError`] if the bytes are corrupt, too large or not a message of this type.
     pub fn unpack(&self) -> Result<T, PackedError> {
-        let encoded = decompress_to_vec_zlib_with_limit(&self.bytes, UNPACKED_LIMIT);
+        let encoded = decompress_to_vec_zlib_with_limit(&self.bytes, MAX_UNPACKED_BYTES);
         let encoded = encoded.map_err(|error| match error.status {
             TINFLStatus::HasMoreOutput => PackedError::TooLarge,
             status => PackedError::Corrupt(status),
--- a/crates/nickellead_gateway/tests/declared_changes.rs
+++ b/crates/nickellead_gateway/tests/declared_changes.rs
@@ -10,8 +10,8 @@
 use many_routes::{many, route};
 use nickellead_gateway::{
     CallerLimits, ChangeError, Declarations, DeclarationsChange, DeclarationsHistory, DeclaredStep,
-    DeclaredUpdate, HISTORY_BYTES, HISTORY_STEPS, Packed, PackedError, ServiceRule, SharedRoute,
-    UNPACKED_LIMIT, UpdateError,
+    DeclaredUpdate, MAX_HISTORY_BYTES, MAX_HISTORY_STEPS, MAX_UNPACKED_BYTES, Packed, PackedError,
+    ServiceRule, SharedRoute, UpdateError,
 };
 use nickellead_peer::{decode, encode};
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -87,7 +87,7 @@
             history.push(step(&pair[0].0, &pair[1].0));
         }
         let Some(newest) = contents.last() else { return true };
-        let kept = contents.iter().rev().take(HISTORY_STEPS + 1).skip(1);
+        let kept = contents.iter().rev().take(MAX_HISTORY_STEPS + 1).skip(1);
         kept.map(|known| &known.0).all(|known| {
             let news = DeclaredUpdate::Steps(history.since(known.state()).unwrap());
             let news: DeclaredUpdate = decode(&encode(&news).unwrap()).unwrap();
@@ -150,7 +150,7 @@
 
 #[test]
 fn bytes_that_unpack_to_too_much_are_refused() {
-    let zeros = vec![0; UNPACKED_LIMIT + 1];
+    let zeros = vec![0; MAX_UNPACKED_BYTES + 1];
     let bytes = miniz_oxide::deflate::compress_to_vec_zlib(&zeros, 1);
     let packed: Packed<Declarations> = packed_of(&bytes);
     assert!(matches!(packed.unpack(), Err(PackedError::TooLarge)));
@@ -158,7 +158,8 @@
 
 #[test]
 fn a_history_forgets_what_exceeds_its_limits() {
-    let contents: Vec<_> = (0..HISTORY_STEPS as u64 + 2).map(|version| many(version, 4)).collect();
+    let contents: Vec<_> =
+        (0..MAX_HISTORY_STEPS as u64 + 2).map(|version| many(version, 4)).collect();
     let mut history = DeclarationsHistory::default();
     history.reset(contents[0].state());
     assert_eq!(history.since(contents[0].state()), Some(Vec::new()));
@@ -166,7 +167,7 @@
         history.push(step(&pair[0], &pair[1]));
     }
     assert_eq!(history.since(contents[0].state()), None);
-    assert_eq!(history.since(contents[1].state()).unwrap().len(), HISTORY_STEPS);
+    assert_eq!(history.since(contents[1].state()).unwrap().len(), MAX_HISTORY_STEPS);
 
     let large: Vec<_> = (0..8).map(|number| many(100 + number, 1_400 * number as usize)).collect();
     for pair in large.windows(2) {
@@ -176,7 +177,7 @@
     assert_eq!(history.since(large[0].state()), None, "too many bytes");
     let kept = large.iter().find_map(|known| history.since(known.state())).unwrap();
     assert!(!kept.is_empty());
-    assert!(kept.iter().map(Packed::len).sum::<usize>() <= HISTORY_BYTES);
+    assert!(kept.iter().map(Packed::len).sum::<usize>() <= MAX_HISTORY_BYTES);
 }
 
 #[test]
