--- a/crates/nickellead_gateway/src/admission.rs
+++ b/crates/nickellead_gateway/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control for overloaded owners and rate limits of targets, as announced to all VMs by the
-//! holder of the mandate (leader lease).
+//! Admission control for overloaded owners and rate limits of targets, as announced to all VMs by
+//! the holder of the mandate (leader lease).
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -27,11 +27,12 @@
 impl AdmissionRange {
     /// The lowest fraction of any of its keys.
     pub(crate) fn min_fraction(&self) -> f32 {
-        self.hot.iter().map(|(_, share)| *share).fold(self.fraction, f32::min)
+        self.hot.iter().map(|(_, fraction)| *fraction).fold(self.fraction, f32::min)
     }
 }
 
-/// Ranges of overloaded owners by service, in the order of their keys; all other keys are unrestricted.
+/// Ranges of overloaded owners by service, in the order of their keys; all other keys are
+/// unrestricted.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub(crate) struct AdmissionTable {
     pub(crate) stamp: AnnouncementStamp,
--- a/crates/nickellead_gateway/src/connections.rs
+++ b/crates/nickellead_gateway/src/connections.rs
@@ -75,7 +75,8 @@
 pub(crate) enum ConnectFailure {
     /// No process listens at the address.
     Refused,
-    /// The connection failed before any byte of the request was sent, as when the target has too many.
+    /// The connection failed before any byte of the request was sent, as when the target has too
+    /// many.
     Broken,
     /// The address did not respond within [`CONNECT_TIMEOUT`] or the time that the caller waits.
     TimedOut,
@@ -148,7 +149,8 @@
         };
         let mut idle = self.idle.borrow_mut();
         idle.retain(|one| one.since.elapsed() < one.idle_timeout && !one.sender.is_closed());
-        // The most recent ones are at the end; one whose response was just read may not be ready yet.
+        // The most recent ones are at the end; one whose response was just read may not be ready
+        // yet.
         let index =
             idle.iter().rposition(|one| one.sender.is_ready() && one.since.elapsed() < max_idle)?;
         Some(idle.remove(index).sender)
--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -189,7 +189,7 @@
         let follower = StoreWatcher {
             store: Rc::clone(&self.store),
             health: Rc::clone(&self.health),
-            book: Rc::clone(&self.book),
+            cluster_state: Rc::clone(&self.book),
             relay: Rc::clone(&self.relay),
             follows_evacuations: self.follows_evacuations,
         };
--- a/crates/nickellead_gateway/src/evacuation.rs
+++ b/crates/nickellead_gateway/src/evacuation.rs
@@ -7,7 +7,8 @@
 
 use crate::EvacuatedZones;
 
-/// How long owners in an evacuated zone still get requests while their keys are moved to other zones.
+/// How long owners in an evacuated zone still get requests while their keys are moved to other
+/// zones.
 ///
 /// A move waits for requests in flight, so it takes about as long as the longest of them.
 const OWNERS_EVACUATION_TIMEOUT: Duration = Duration::from_millis(2_500);
--- a/crates/nickellead_gateway/src/exchange.rs
+++ b/crates/nickellead_gateway/src/exchange.rs
@@ -15,7 +15,8 @@
 use crate::target_registry::RegisteredTarget;
 use crate::{HeaderNames, RepeatClass};
 
-/// Most bytes of a response body, which is buffered completely before it is forwarded to the caller.
+/// Most bytes of a response body, which is buffered completely before it is forwarded to the
+/// caller.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// The part of a request that is the same for all attempts.
@@ -52,7 +53,8 @@
     Responded(TargetResponse),
     /// The target refused the request without running it.
     Shed,
-    /// The address belongs to another target, or the target does not own the key; the request did not run.
+    /// The address belongs to another target, or the target does not own the key; the request did
+    /// not run.
     Misdirected,
     /// Nothing was sent, because no connection was available.
     NotSent(ConnectFailure),
@@ -150,8 +152,8 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
-    // The caller's path was parsed before, so this does not fail; if it did, the target would refuse
-    // the root path.
+    // The caller's path was parsed before, so this does not fail; if it did, the target would
+    // refuse the root path.
     if let Ok(uri) = outgoing.path_and_query.parse() {
         *request.uri_mut() = uri;
     }
@@ -256,6 +258,7 @@
 /// The target's idle timeout, from its `Keep-Alive` header.
 fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
-    let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    let timeout =
+        value.split(',').find_map(|directive| directive.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
--- a/crates/nickellead_gateway/src/fleet.rs
+++ b/crates/nickellead_gateway/src/fleet.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Index of a VM within its availability zone and the number of VMs there; `None` if the fleet does
-    /// not contain the VM.
+    /// Index of a VM within its availability zone and the number of VMs there; `None` if the fleet
+    /// does not contain the VM.
     pub(crate) fn index_in_zone(&self, vm: VmId) -> Option<(usize, usize)> {
         let vms_in_zone = self.vms.iter().filter(|one| one.shares_zone_with(vm));
         index_among(vm, vms_in_zone)
@@ -60,11 +60,12 @@
         index_among(vm, self.vms.iter())
     }
 
-    /// Whether a VM may send requests to a target of this availability zone while the target is cold.
+    /// Whether a VM may send requests to a target of this availability zone while the target is
+    /// cold.
     ///
-    /// Rendezvous hashing selects the senders from the VMs of the zone, or from all VMs if the zone has
-    /// none. VMs with the same view of the fleet agree without communication, and a VM that joins or
-    /// leaves changes few senders.
+    /// Rendezvous hashing selects the senders from the VMs of the zone, or from all VMs if the zone
+    /// has none. VMs with the same view of the fleet agree without communication, and a VM that
+    /// joins or leaves changes few senders.
     pub(crate) fn sends_to_cold(&self, vm: VmId, target: &str, zone: &str) -> bool {
         if !self.vms.contains(&vm) {
             return false;
--- a/crates/nickellead_gateway/src/incoming.rs
+++ b/crates/nickellead_gateway/src/incoming.rs
@@ -30,7 +30,7 @@
 impl IncomingRequest {
     /// The service that metrics attribute the request to: the first one of the route's split.
     pub(crate) fn main_service(&self) -> &str {
-        self.route.rule.split.first().map_or("-", |part| &part.service)
+        self.route.rule.split.first().map_or("-", |first| &first.service)
     }
 
     /// When the latency target is missed, counted from the caller's first attempt.
--- a/crates/nickellead_gateway/src/load_counter.rs
+++ b/crates/nickellead_gateway/src/load_counter.rs
@@ -110,7 +110,8 @@
 pub(crate) struct LoadCounter(Arc<Mutex<LoadCounts>>);
 
 impl LoadCounter {
-    /// Locks the counts; a poisoned lock is ignored, because each change is a single insertion or swap.
+    /// Locks the counts; a poisoned lock is ignored, because each change is a single insertion or
+    /// swap.
     fn lock(&self) -> MutexGuard<'_, LoadCounts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -30,8 +30,8 @@
 const RESPONSE_FRACTION: f64 = 0.92;
 /// Fraction of the grace time after which the process exits regardless of open requests.
 const EXIT_FRACTION: f64 = 0.97;
-/// Fraction of the drain time during which a leaving target still gets requests that no other target
-/// can serve.
+/// Fraction of the drain time during which a leaving target still gets requests that no other
+/// target can serve.
 ///
 /// Its keys move to other owners within this window. The remaining time is for requests in flight.
 const LEAVING_WINDOW_FRACTION: f64 = 0.5;
@@ -64,8 +64,8 @@
     serve_state: Arc<ServeState>,
     drain: Arc<DrainState>,
     stopping: watch::Sender<bool>,
-    requests: JoinHandle<()>,
-    control: JoinHandle<()>,
+    request_thread: JoinHandle<()>,
+    control_thread: JoinHandle<()>,
 }
 
 /// Starts the request thread and the control thread of one VM.
@@ -83,7 +83,7 @@
     S: StorePort,
     O: OrderPort,
 {
-    let sockets = NodeSockets::bind(&settings)?;
+    let listeners = GatewayListeners::bind(&settings)?;
     let (senders, receivers) = state_channels();
     let load_counter = LoadCounter::default();
     let serve_state = Arc::new(ServeState::default());
@@ -91,15 +91,15 @@
     let (stopping, stopped) = watch::channel(false);
     let incarnation = control::draw_number();
     let metrics = ControlMetrics::default();
-    let requests = requests::start(RequestContext {
+    let request_thread = requests::start(RequestContext {
         names,
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         retry_burst: settings.retry_burst,
         connections: settings.connections,
-        callers: sockets.callers,
-        readiness: sockets.readiness,
-        metrics: sockets.metrics,
+        callers: listeners.callers,
+        readiness: listeners.readiness,
+        metrics: listeners.metrics,
         control_metrics: metrics.clone(),
         receivers,
         load_counter: load_counter.clone(),
@@ -124,22 +124,22 @@
         cold: settings.cold,
         follows_evacuations: settings.evacuation_s.is_some(),
     };
-    let control = control::start(context, sockets.peers, stopped, ports)?;
+    let control_thread = control::start(context, listeners.peers, stopped, ports)?;
     let pairs: [(&str, &dyn std::fmt::Display); 3] =
         [("vm", &settings.vm), ("zone", &settings.zone), ("incarnation", &incarnation)];
     log_event(EventName::NodeStarted, &pairs);
-    Ok(GatewayHandle { settings, serve_state, drain, stopping, requests, control })
+    Ok(GatewayHandle { settings, serve_state, drain, stopping, request_thread, control_thread })
 }
 
 /// Listeners of one VM.
-struct NodeSockets {
+struct GatewayListeners {
     callers: TcpListener,
     readiness: TcpListener,
     peers: TcpListener,
     metrics: Option<TcpListener>,
 }
 
-impl NodeSockets {
+impl GatewayListeners {
     /// Binds all of them, or none.
     fn bind(settings: &GatewaySettings) -> Result<Self, GatewayError> {
         let metrics = |address| listen("metrics_address", address);
@@ -159,8 +159,8 @@
 impl GatewayHandle {
     /// Applies settings that were read again.
     ///
-    /// The grace time takes effect at once. Addresses and names stay as they were at the start, because
-    /// callers and the store identify the process by them.
+    /// The grace time takes effect at once. Addresses and names stay as they were at the start,
+    /// because callers and the store identify the process by them.
     pub fn reload(&mut self, settings: GatewaySettings) {
         let same = self.settings == settings;
         let needs_restart = self.settings.callers_address != settings.callers_address
@@ -195,7 +195,7 @@
         }
         let (running, waiting) = (self.serve_state.running(), self.serve_state.waiting());
         self.serve_state.stop();
-        let finished = join_until(self.requests, end);
+        let finished = join_until(self.request_thread, end);
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
             ("vm", &self.settings.vm),
             ("requests_running", &running),
@@ -204,7 +204,7 @@
             ("answers_cut", &self.serve_state.waiting()),
         ];
         log_event(EventName::NodeDrained, &pairs);
-        let mandate_settled = join_until(self.control, end);
+        let mandate_settled = join_until(self.control_thread, end);
         let pairs: [(&str, &dyn std::fmt::Display); 3] = [
             ("vm", &self.settings.vm),
             ("requests_finished", &finished),
--- a/crates/nickellead_gateway/src/policy.rs
+++ b/crates/nickellead_gateway/src/policy.rs
@@ -55,7 +55,8 @@
     pub limit_moves: PolicySwitch,
     /// Ranges are moved to targets with less load.
     pub load_moves: PolicySwitch,
-    /// The holder of the mandate (leader lease) limits the requests of all VMs to an overloaded owner.
+    /// The holder of the mandate (leader lease) limits the requests of all VMs to an overloaded
+    /// owner.
     pub shared_admission: PolicySwitch,
     /// Owners are weighted by their measured latency.
     pub measured_speeds: PolicySwitch,
--- a/crates/nickellead_gateway/src/port.rs
+++ b/crates/nickellead_gateway/src/port.rs
@@ -42,14 +42,14 @@
 }
 
 /// A client of the platform's object store.
-#[allow(async_fn_in_trait, reason = "all parts of a process run on one thread each")]
+#[allow(async_fn_in_trait, reason = "every caller runs on a single thread")]
 pub trait StorePort: 'static {
-    /// The newest era of the store that a response reported; an era ends when the store is restored from
-    /// an older copy.
+    /// The newest era of the store that a response reported; an era ends when the store is restored
+    /// from an older copy.
     ///
     /// A call that names a revision of another era than its response reports fails with
-    /// [`StoreError::Compacted`], or with [`StoreError::Conflict`] if it is a write. Such a write may
-    /// nevertheless have taken effect.
+    /// [`StoreError::Compacted`], or with [`StoreError::Conflict`] if it is a write. Such a write
+    /// may nevertheless have taken effect.
     fn era(&self) -> StoreEra;
     /// Number of responses with an invalid era.
     fn invalid_eras(&self) -> u64;
@@ -120,7 +120,7 @@
 }
 
 /// A client that sends range orders to targets.
-#[allow(async_fn_in_trait, reason = "all parts of a process run on one thread each")]
+#[allow(async_fn_in_trait, reason = "every caller runs on a single thread")]
 pub trait OrderPort: 'static {
     /// Sends one order and waits up to `timeout` for the reply; a grant is valid for `lease`.
     async fn send(&self, order: &RangeOrder, lease: Duration, timeout: Duration) -> OrderReply;
@@ -145,6 +145,7 @@
     pub not_run: &'static str,
     /// Marks each response of a target that is leaving.
     pub leaving: &'static str,
-    /// Requests a second that a target accepts from all VMs together; sent on each response while limited.
+    /// Requests a second that a target accepts from all VMs together; sent on each response while
+    /// limited.
     pub limit: &'static str,
 }
--- a/crates/nickellead_gateway/src/response_signals.rs
+++ b/crates/nickellead_gateway/src/response_signals.rs
@@ -7,7 +7,8 @@
 
 use crate::HeaderNames;
 
-/// Longest pause that a target can request; longer ones are capped so that sums of times stay in range.
+/// Longest pause that a target can request; longer ones are capped so that sums of times stay in
+/// range.
 const MAX_PAUSE: Duration = Duration::from_secs(24 * 3_600);
 
 /// The signals of one response.
--- a/crates/nickellead_gateway/src/route_table.rs
+++ b/crates/nickellead_gateway/src/route_table.rs
@@ -53,8 +53,8 @@
 }
 
 impl HostRoutes {
-    /// Adds a route. If two have the same prefix, the first by name wins, because the order of routes
-    /// differs between VMs.
+    /// Adds a route. If two have the same prefix, the first by name wins, because the order of
+    /// routes differs between VMs.
     fn add(&mut self, entry: Rc<RouteEntry>) {
         let prefix = entry.rule.path_prefix.clone();
         self.lengths.push(prefix.len());
--- a/crates/nickellead_gateway/src/settings.rs
+++ b/crates/nickellead_gateway/src/settings.rs
@@ -45,15 +45,16 @@
     pub metrics_address: Option<SocketAddr>,
     /// Listen address for other VMs.
     pub peers_address: SocketAddr,
-    /// Address at which other VMs reach it, if it differs from `peers_address`, as with a port mapping.
+    /// Address at which other VMs reach it, if it differs from `peers_address`, as with a port
+    /// mapping.
     #[serde(default)]
     pub peers_announced: Option<SocketAddr>,
-    /// CPU available to the process, in cores. A VM with little of it acquires the mandate (leader lease)
-    /// only if no other VM does.
+    /// CPU available to the process, in cores. A VM with little of it acquires the mandate (leader
+    /// lease) only if no other VM does.
     #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
-    /// Bandwidth of its network link in Mbit/s, if known. A VM with a slow link acquires the mandate only
-    /// if no other VM does.
+    /// Bandwidth of its network link in Mbit/s, if known. A VM with a slow link acquires the
+    /// mandate only if no other VM does.
     #[serde(default)]
     pub link_mbps: Option<f64>,
     /// Address of the platform's store.
@@ -69,8 +70,8 @@
     /// Limit for requests of all VMs together to a cold target; `None` for no limit.
     #[serde(default)]
     pub cold: Option<ColdSettings>,
-    /// Seconds after which an evacuated availability zone may get no more requests; `None` to disable
-    /// evacuations.
+    /// Seconds after which an evacuated availability zone may get no more requests; `None` to
+    /// disable evacuations.
     #[serde(default)]
     pub evacuation_s: Option<f64>,
     /// Seconds after which a target that signalled that it is leaving may get no new requests.
@@ -96,13 +97,14 @@
     2_000
 }
 
-/// The VMs do not coordinate retries, so the value per VM is the fleet's allowance divided by its size.
+/// The VMs do not coordinate retries, so the value per VM is the fleet's allowance divided by its
+/// size.
 const fn default_retry_burst() -> f64 {
     2.4
 }
 
-/// The limit for requests of all VMs to a cold target within one second: its rate times `overage` plus
-/// `slack`.
+/// The limit for requests of all VMs to a cold target within one second: its rate times `overage`
+/// plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdSettings {
     /// Factor on the rate that the target's service declares.
@@ -122,8 +124,8 @@
 }
 
 impl Default for OwnershipSettings {
-    /// The lease must outlast the loss of the mandate holder until its successor renews; a shorter lease
-    /// frees the keys of a lost target sooner.
+    /// The lease must outlast the loss of the mandate holder until its successor renews; a shorter
+    /// lease frees the keys of a lost target sooner.
     fn default() -> Self {
         Self { hold_s: 4.5, renewal_s: 1.0 }
     }
--- a/crates/nickellead_gateway/src/store_health.rs
+++ b/crates/nickellead_gateway/src/store_health.rs
@@ -15,7 +15,8 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(900);
 /// Most doublings of [`INITIAL_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Fraction of the backoff that is always waited; the rest is random, so that VMs do not retry at once.
+/// Fraction of the backoff that is always waited; the rest is random, so that VMs do not retry at
+/// once.
 const MIN_BACKOFF_FRACTION: f64 = 0.5;
 
 /// Failures and recoveries of the store, shared by everything on this VM that calls it.
--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -25,7 +25,8 @@
 /// Delay after a change of declarations, so that one call reads several changes.
 const DECLARATIONS_DELAY: Duration = Duration::from_millis(120);
 
-/// How long announced declarations may be on their way from another VM before the store is read instead.
+/// How long announced declarations may be on their way from another VM before the store is read
+/// instead.
 const ANNOUNCED_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Interval between two checks whether the store has recovered.
@@ -45,14 +46,15 @@
 const COMPACTED_DELAY: Duration = Duration::from_millis(600);
 /// Factor on the check intervals of a VM that is not the mandate holder and has no subscribers.
 const CHECK_FACTOR_WITHOUT_SUBSCRIBERS: f64 = 4.0;
-/// The same factor for a VM with subscribers, which leave an upstream without recent store responses.
+/// The same factor for a VM with subscribers, which leave an upstream without recent store
+/// responses.
 const CHECK_FACTOR_WITH_SUBSCRIBERS: f64 = 0.6;
 
 /// Watches the store and applies what it reads to the cluster state.
 pub(crate) struct StoreWatcher<S> {
     pub(crate) store: Rc<S>,
     pub(crate) health: Rc<StoreHealth>,
-    pub(crate) book: Rc<BeliefBook>,
+    pub(crate) cluster_state: Rc<BeliefBook>,
     pub(crate) relay: Rc<NewsRelay>,
     /// Whether evacuations of availability zones are enabled.
     pub(crate) follows_evacuations: bool,
@@ -63,7 +65,7 @@
         Self {
             store: Rc::clone(&self.store),
             health: Rc::clone(&self.health),
-            book: Rc::clone(&self.book),
+            cluster_state: Rc::clone(&self.cluster_state),
             relay: Rc::clone(&self.relay),
             follows_evacuations: self.follows_evacuations,
         }
@@ -101,8 +103,8 @@
                 watcher.run(|read_all| watcher.step_evacuations(read_all)).await;
             });
         }
-        let book = Rc::clone(&self.book);
-        actix_rt::spawn(async move { book.drop_all_lapsed().await });
+        let cluster_state = Rc::clone(&self.cluster_state);
+        actix_rt::spawn(async move { cluster_state.drop_all_lapsed().await });
     }
 
     /// Repeats a step while this VM watches the store itself.
@@ -115,7 +117,8 @@
         let mut last_compacted: Option<Instant> = None;
         loop {
             self.relay.follows_store().await;
-            // A new mandate holder serves all other VMs, and a watch from before an outage may hang.
+            // A new mandate holder serves all other VMs, and a watch from before an outage may
+            // hang.
             read_all |= self.relay.leads() && !was_leading;
             was_leading = self.relay.leads();
             let stepped = tokio::select! {
@@ -127,7 +130,7 @@
             read_all = false;
             match stepped {
                 Ok(WatchStep::Continue) => {}
-                Ok(WatchStep::After(pause)) => tokio::time::sleep(pause).await,
+                Ok(WatchStep::After(delay)) => tokio::time::sleep(delay).await,
                 Ok(WatchStep::ReadAll) => read_all = true,
                 Err(StoreError::Compacted) => {
                     read_all = true;
@@ -155,7 +158,7 @@
     }
 
     async fn step_declarations(&self, read_all: bool) -> Result<WatchStep, StoreError> {
-        let known = self.book.known().declarations.filter(|_| !read_all);
+        let known = self.cluster_state.known().declarations.filter(|_| !read_all);
         let result = match known {
             None => self.store.declarations().await,
             Some(from) => match self.watch_declarations(from).await? {
@@ -166,7 +169,7 @@
         self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
-        self.book.note_declarations(snapshot.as_of, snapshot.value);
+        self.cluster_state.note_declarations(snapshot.as_of, snapshot.value);
         // The first read needs no delay.
         let changed = changed && known.is_some();
         Ok(if changed { WatchStep::After(DECLARATIONS_DELAY) } else { WatchStep::Continue })
@@ -180,7 +183,7 @@
         from: Revision,
     ) -> Result<Option<Snapshot<Option<Declarations>>>, StoreError> {
         let mut watching = std::pin::pin!(self.store.watch_declarations(from, WATCH_TIMEOUT));
-        let version = || self.book.declarations().map(|known| known.version);
+        let version = || self.cluster_state.declarations().map(|known| known.version);
         loop {
             let known = version();
             let checking = async {
@@ -194,7 +197,7 @@
             };
             self.health.record(&read);
             if let Ok(read) = read {
-                self.book.note_declarations(read.as_of, read.value);
+                self.cluster_state.note_declarations(read.as_of, read.value);
             }
             if version() != known {
                 return Ok(None);
@@ -205,29 +208,30 @@
     /// Reads announced declarations that do not arrive from another VM in time.
     async fn read_late_declarations(&self) {
         loop {
-            let since = self.book.wait_for_lack().await;
+            let since = self.cluster_state.wait_for_lack().await;
             tokio::time::sleep_until((since + ANNOUNCED_TIMEOUT).into()).await;
-            if !self.book.lacks_since(since) {
+            if !self.cluster_state.lacks_since(since) {
                 continue;
             }
             let read = self.store.declarations().await;
             self.health.record(&read);
             match read {
-                Ok(read) => self.book.note_declarations(read.as_of, read.value),
+                Ok(read) => self.cluster_state.note_declarations(read.as_of, read.value),
                 Err(_) => self.wait_for_store().await,
             }
-            // The read may return an older version than the announced one: do not repeat it at once.
+            // The read may return an older version than the announced one: do not repeat it at
+            // once.
             tokio::time::sleep(ANNOUNCED_TIMEOUT).await;
         }
     }
 
     async fn step_targets(&self, read_all: bool) -> Result<WatchStep, StoreError> {
-        match self.book.known().targets.filter(|_| !read_all) {
+        match self.cluster_state.known().targets.filter(|_| !read_all) {
             None => {
                 let result = self.store.targets().await;
                 self.health.record(&result);
                 let list = result?;
-                self.book.note_all_targets(list.as_of, list.value, self.expiry_end());
+                self.cluster_state.note_all_targets(list.as_of, list.value, self.expiry_end());
                 Ok(WatchStep::After(self.targets_delay()))
             }
             Some(from) => self.watch_targets(from).await,
@@ -243,23 +247,23 @@
             };
         self.health.record(&result);
         let changes = result?;
-        if self.book.known().targets.is_some_and(|known| known != from) {
+        if self.cluster_state.known().targets.is_some_and(|known| known != from) {
             // Another VM's update was faster: these changes may be older than what is known.
             return Ok(WatchStep::ReadAll);
         }
         let changed = !changes.value.is_empty();
-        self.book.note_target_changes(changes.as_of, changes.value, self.expiry_end());
+        self.cluster_state.note_target_changes(changes.as_of, changes.value, self.expiry_end());
         Ok(if changed { WatchStep::After(self.targets_delay()) } else { WatchStep::Continue })
     }
 
     async fn step_ranges(&self, read_all: bool) -> Result<WatchStep, StoreError> {
         if self.relay.leads() {
-            // The mandate holder need not watch the map: it applies its own writes to the cluster state, and
-            // a late write of its predecessor makes its next write fail.
+            // The mandate holder need not watch the map: it applies its own writes to the cluster
+            // state, and a late write of its predecessor makes its next write fail.
             self.relay.leads_no_more().await;
             return Ok(WatchStep::ReadAll);
         }
-        let known = self.book.known().ranges.filter(|_| !read_all);
+        let known = self.cluster_state.known().ranges.filter(|_| !read_all);
         let result = match known {
             None => self.store.ranges().await,
             Some(from) => {
@@ -275,13 +279,13 @@
         self.health.record(&result);
         let snapshot = result?;
         let changed = snapshot.value.is_some();
-        self.book.note_ranges(snapshot.as_of, snapshot.value);
+        self.cluster_state.note_ranges(snapshot.as_of, snapshot.value);
         Ok(if changed { WatchStep::After(RANGES_DELAY) } else { WatchStep::Continue })
     }
 
     /// Lists the evacuated zones, and again whenever an evacuation begins or ends.
     async fn step_evacuations(&self, read_all: bool) -> Result<WatchStep, StoreError> {
-        if let Some(from) = self.book.known().evacuations.filter(|_| !read_all) {
+        if let Some(from) = self.cluster_state.known().evacuations.filter(|_| !read_all) {
             let watching = self.store.watch_evacuations(from, WATCH_TIMEOUT);
             let check = self.check_interval(EVACUATIONS_CHECK_INTERVAL);
             if let Ok(watched) = tokio::time::timeout(check, watching).await {
@@ -294,7 +298,7 @@
         let result = self.store.evacuations().await;
         self.health.record(&result);
         let Snapshot { as_of, value } = result?;
-        self.book.note_evacuations(Stored { revision: as_of, value });
+        self.cluster_state.note_evacuations(Stored { revision: as_of, value });
         Ok(WatchStep::Continue)
     }
 
@@ -312,7 +316,8 @@
         if self.relay.leads() { TARGETS_DELAY } else { TARGETS_DELAY_NOT_LEADING }
     }
 
-    /// Until when a missing entry may only have expired during an outage; `None` without a recent outage.
+    /// Until when a missing entry may only have expired during an outage; `None` without a recent
+    /// outage.
     fn expiry_end(&self) -> Option<Instant> {
         if self.health.is_unavailable() {
             return Some(Instant::now() + LAPSE_TIME);
--- a/crates/nickellead_gateway/src/target_registry.rs
+++ b/crates/nickellead_gateway/src/target_registry.rs
@@ -1,6 +1,6 @@
 //! The registry of targets that the request path selects from.
 //!
-//! It is rebuilt for each new target list; statistics of targets that leaving_window are kept.
+//! It is rebuilt for each new target list; statistics of targets that stay are kept.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -35,7 +35,8 @@
 
 /// Most targets of a service in this VM's own zone that are in its subset.
 ///
-/// Requests that are spread over too many targets can't reuse idle connections before they time out.
+/// Requests that are spread over too many targets can't reuse idle connections before they time
+/// out.
 const MAX_NEAR_TARGETS: usize = 8;
 /// Most targets of other zones in the subset, which serve when the near ones are at capacity.
 const MAX_FAR_TARGETS: usize = 4;
@@ -50,10 +51,12 @@
 /// Most instances without an entry whose signals are kept; beyond it all of these are dropped.
 const MAX_UNLISTED: usize = 4_096;
 
-/// Most targets of one zone that count as crashed at the same time; more suggest a network partition.
+/// Most targets of one zone that count as crashed at the same time; more suggest a network
+/// partition.
 const MAX_CRASHED_PER_ZONE: usize = 3;
 
-/// Signals of one target instance, shared by its requests and kept for a while after it is unlisted.
+/// Signals of one target instance, shared by its requests and kept for a while after it is
+/// unlisted.
 pub(crate) type SharedSignals = Rc<Cell<TargetSignals>>;
 
 /// One instance of a target, with the state and statistics that this VM keeps about it.
@@ -75,7 +78,7 @@
     down_until: Cell<Timestamp>,
     /// Signals that this VM received from it.
     pub(crate) signals: SharedSignals,
-    /// Its rate limit as announced by the mandate instance.
+    /// Its rate limit as announced by the mandate holder.
     reported_limit: Cell<ReportedLimit>,
     /// Enforces this VM's share of its rate limit.
     rate_limiter: RateLimiter,
@@ -108,8 +111,8 @@
         self.concurrency_limit.get().has_capacity(self.score.borrow().in_flight)
     }
 
-    /// Whether the target's signals, cold limit and rate limit allow a request now; `leaving_window` as in
-    /// [`TargetSignals::may_send`].
+    /// Whether the target's signals, cold limit and rate limit allow a request now;
+    /// `leaving_window` as in [`TargetSignals::may_send`].
     pub(crate) fn may_send(&self, leaving_window: Duration, now: Timestamp) -> bool {
         self.signals.get().may_send(leaving_window, now)
             && self.cold_limiter.may_send(now)
@@ -123,7 +126,7 @@
         self.rate_limiter.may_send(now)
     }
 
-    /// Whether this VM or the mandate instance knows a rate limit of it that may still be active.
+    /// Whether this VM or the mandate holder knows a rate limit of it that may still be active.
     pub(crate) fn may_be_limited(&self) -> bool {
         let is_announced = matches!(self.reported_limit.get(), ReportedLimit::Limited(_));
         is_announced || self.signals.get().limit().is_some()
@@ -203,9 +206,9 @@
         latency_target: Duration,
         now: Timestamp,
     ) {
-        let unhurried = Duration::from_secs_f64(self.score.borrow().baseline_ms() / 1_000.0);
+        let baseline = Duration::from_secs_f64(self.score.borrow().baseline_ms() / 1_000.0);
         let mut limit = self.concurrency_limit.get();
-        limit.record_response(running, latency, unhurried, latency_target, now);
+        limit.record_response(running, latency, baseline, latency_target, now);
         self.concurrency_limit.set(limit);
     }
 
@@ -253,8 +256,8 @@
         self.services.get(service).is_some_and(|rule| rule.sharded)
     }
 
-    /// This VM's share of a cold target's limit.
-    fn cold_share(&self, vm: VmId, entry: &TargetEntry) -> ColdQuota {
+    /// This VM's quota of a cold target's limit.
+    fn cold_quota(&self, vm: VmId, entry: &TargetEntry) -> ColdQuota {
         let (Some(bounds), Some(rule)) = (self.cold_settings, self.cold_rule(&entry.service))
         else {
             return ColdQuota::Unlimited;
@@ -292,7 +295,7 @@
         Self { vm, zone, ..Self::default() }
     }
 
-    /// The registry for a new list; instances that leaving_window keep their statistics.
+    /// The registry for a new list; instances that stay keep their statistics.
     pub(crate) fn rebuild(&self, list: &TargetList, rules: &RegistryRules<'_>) -> Self {
         let now = BootClock.now();
         let vm = VmId::new(&self.vm, &self.zone);
@@ -302,7 +305,7 @@
             let target = self.target_for_entry(entry, now);
             target.cold_rule.set(rules.cold_rule(&entry.service));
             target.sharded.set(rules.is_sharded(&entry.service));
-            target.cold_limiter.set_quota(rules.cold_share(vm, entry), now);
+            target.cold_limiter.set_quota(rules.cold_quota(vm, entry), now);
             target.sharing_vms.set(sharing_vms);
             if let (Some(rule), Some(returned)) =
                 (target.cold_rule.get(), rules.zones.returned_at(&entry.zone))
@@ -377,12 +380,13 @@
 
     /// Whether the fleet is so large that the service's targets are divided among the VMs.
     ///
-    /// A VM whose subset is at capacity then uses no other targets, as they are at capacity as well.
+    /// A VM whose subset is at capacity then uses no other targets, as they are at capacity as
+    /// well.
     pub(crate) fn is_partitioned(&self, service: &str) -> bool {
         self.partitioned.contains(service)
     }
 
-    /// Sets the rate limits that the mandate instance announced.
+    /// Sets the rate limits that the mandate holder announced.
     pub(crate) fn set_reported_limits(&self, table: &AdmissionTable) {
         for (id, target) in &self.by_id {
             target.reported_limit.set(table.reported_limit(id, target.born));
@@ -396,11 +400,13 @@
         (same && target.state.get() == TargetState::Ready).then_some(target)
     }
 
-    /// Marks a target as down after a refused connection, and expects it to be cold when it is back.
+    /// Marks a target as down after a refused connection, and expects it to be cold when it is
+    /// back.
     ///
-    /// A restarted target that is partitioned from the store can't publish an entry that says so. If many
-    /// targets of a zone are down, a partition between them and this VM is more likely, and they are not
-    /// expected to be cold. Targets of sharded services own no keys before their new entry is known.
+    /// A restarted target that is partitioned from the store can't publish an entry that says so.
+    /// If many targets of a zone are down, a partition between them and this VM is more likely, and
+    /// they are not expected to be cold. Targets of sharded services own no keys before their new
+    /// entry is known.
     pub(crate) fn mark_down(&self, target: &RegisteredTarget, now: Timestamp) {
         target.mark_down(now);
         let Some(rule) = target.cold_rule.get().filter(|_| !target.sharded.get()) else { return };
@@ -427,7 +433,8 @@
     }
 }
 
-/// This VM's subset of a service: near and far targets, and the cold ones that it sends requests to.
+/// This VM's subset of a service: near and far targets, and the cold ones that it sends requests
+/// to.
 fn choose_subset(
     vm: VmId,
     zone: &str,
--- a/crates/nickellead_gateway/src/targets.rs
+++ b/crates/nickellead_gateway/src/targets.rs
@@ -21,8 +21,8 @@
 pub struct TargetEntry {
     /// Identity, which a restarted target may keep.
     pub id: String,
-    /// When it started, by its own clock. Together with the identity, it names one instance. `None` for
-    /// targets that never reuse an identity.
+    /// When it started, by its own clock. Together with the identity, it names one instance. `None`
+    /// for targets that never reuse an identity.
     pub born: Option<u64>,
     /// Name of its service.
     pub service: String,
