--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -190,7 +190,7 @@
         let follower = StoreWatcher {
             store: Rc::clone(&self.store),
             health: Rc::clone(&self.health),
-            book: Rc::clone(&self.cluster),
+            cluster_state: Rc::clone(&self.cluster),
             relay: Rc::clone(&self.relay),
             follows_evacuations: self.follows_evacuations,
         };
