--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -252,7 +252,11 @@
             return Ok(WatchStep::ReadAll);
         }
         let changed = !changes.value.is_empty();
-        self.cluster_state.apply_stored_target_changes(changes.as_of, changes.value, self.expiry_end());
+        self.cluster_state.apply_stored_target_changes(
+            changes.as_of,
+            changes.value,
+            self.expiry_end(),
+        );
         Ok(if changed { WatchStep::After(self.targets_delay()) } else { WatchStep::Continue })
     }
 
--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -128,8 +128,10 @@
             return;
         }
         let gap_percent = if rebalances { RebalanceLimits::default().min_gap_percent } else { 100 };
-        let limits =
-            RebalanceLimits { max_moves: self.settings.max_concurrent_moves, min_gap_percent: gap_percent };
+        let limits = RebalanceLimits {
+            max_moves: self.settings.max_concurrent_moves,
+            min_gap_percent: gap_percent,
+        };
         let plans = plan_moves(&leaving, &mut staying, limits);
         self.begin_moves(service, &plans, now);
     }
