--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -112,7 +112,7 @@
             let instance = target.instance();
             let max_load = self.max_load(&instance);
             let capacity = f64::from(target.slots.max(1)) * factor(target);
-            OwnerCandidate { target: instance, capacity, max_load: max_load }
+            OwnerCandidate { target: instance, capacity, max_load }
         };
         usable.iter().map(candidate).collect()
     }
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -118,7 +118,7 @@
         incarnation,
         ownership: settings.ownership,
         senders,
-        load_counter: load_counter,
+        load_counter,
         metrics,
         policy: settings.policy,
         cold_settings: settings.cold,
