--- a/crates/nickellead_gateway/src/control/admission.rs
+++ b/crates/nickellead_gateway/src/control/admission.rs
@@ -1,4 +1,4 @@
-//! What all VMs saw of each target, and what crowded owners may be sent.
+//! Statistics that all VMs report about targets, and the limits of overloaded owners.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -18,39 +18,37 @@
 use crate::load_counter::{ResponseCounts, VmId};
 use crate::{OrderPort, StorePort};
 
-/// Weight of one answer in what is known of a target's speed, as a part of the weight that a VM gives
-/// the answers that it sees itself: all VMs together see many times as many.
+/// Weight of a response in a target's baseline latency, relative to the weight that a VM gives to
+/// the responses that it receives itself. All VMs together receive many more.
 const RESPONSE_WEIGHT_FACTOR: f64 = 0.2;
-/// An average of several answers counts as at most this many.
+/// Maximum number of samples for which the mean of a report counts.
 const MAX_SAMPLES_PER_MEAN: u32 = 8;
-/// VMs a slot from which an owner's limit is told to all.
-///
-/// Up to here one request of each VM is a queue of two behind each slot, which VMs' own limits and turns
-/// see and keep in time; limits for all showed no gain on 12 VMs and six slots. Beyond it one request of
-/// each VM is too much.
+/// Up to this many VMs per slot, an overloaded owner gets no limit that all VMs share: one request
+/// of each VM then makes a short queue, which the VMs' own limits and queues bound.
 const MAX_UNLIMITED_VMS_PER_SLOT: usize = 3;
 /// A VM that has not reported for this long takes no requests.
 const REPORTER_TTL: Duration = Duration::from_millis(2_500);
-/// A target that serves nobody and asks for a pause is to own keys again after so many of them: it often
-/// asks for the next one, and keys that came back would wait for one more move.
+/// A target that serves nobody and requests a pause owns no keys for this many of its pauses. It
+/// often requests another one, and the keys would have to move again.
 const OWNERSHIP_SUSPENSION_PAUSES: u32 = 2;
-/// For so long all VMs are told that no target names a limit any more.
+/// How long it is announced that no target reports a limit any more.
 const LIMITS_END_ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
-/// Most ranges of crowded owners that are told: each costs every VM about ten bytes a word.
+/// Maximum number of announced ranges of overloaded owners, which bounds the size of the
+/// announcement.
 const MAX_ANNOUNCED_RANGES: usize = 256;
 
-/// What all VMs saw of one target.
+/// Statistics about one instance of a target, from all VMs.
 #[derive(Clone, Copy)]
 pub(super) struct TargetStats {
-    /// Which life of the target they are of.
+    /// Start time of the instance.
     born: Option<u64>,
     pub(super) baseline_latency: BaselineLatency,
-    /// Latency target of its requests, in milliseconds; 0 before the first answer.
+    /// Mean latency target of its requests, in milliseconds; 0 before the first response.
     latency_target_ms: f64,
-    /// What it did since the last look.
+    /// Counts since the last check.
     counts: ResponseCounts,
     admission: OwnerAdmission,
-    /// Until when the pauses that it asked for count.
+    /// Until when the target owns no keys because of the pauses that it requested.
     paused_until: Timestamp,
 }
 
@@ -83,13 +81,14 @@
         self.latency_target_ms = counts.total_ms / counts.latency_target_ratios.max(f64::EPSILON);
     }
 
-    /// Whether it asked for pauses and serves nobody now: one that serves others is overrun, and moves by load
-    /// relieve it.
+    /// Whether it requested pauses and serves nobody now. A target that serves some requests is
+    /// overloaded, and moves for load relieve it.
     pub(super) fn is_paused(&self, now: Timestamp) -> bool {
         now < self.paused_until && self.counts.responses == 0
     }
 
-    /// The report of the last period, for an owner with these slots and this demand a second.
+    /// The report of the last period for an owner with these slots and this demand, in requests per
+    /// second.
     fn report(&self, slots: u32, demand: f64) -> OwnerReport {
         let millis = self.baseline_latency.millis();
         let is_known = self.baseline_latency.samples() > 0 && millis > 0.0;
@@ -108,13 +107,13 @@
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Takes in what became of requests since the last look.
+    /// Records the outcomes of requests since the last check.
     pub(super) fn record_responses(&self, mut responses: HashMap<String, ResponseCounts>) {
         let listed = self.cluster.targets();
         let now = BootClock.now();
         let mut stats = self.target_stats.borrow_mut();
         let born = |target: &String| listed.get(target).map(|entry| entry.born);
-        // What one life of a target did says nothing of the next one.
+        // Statistics of one instance say nothing about the next one.
         stats.retain(|target, stats| born(target) == Some(stats.born));
         for (target, stats) in stats.iter_mut() {
             stats.record(responses.remove(target).unwrap_or_default(), now);
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Takes in which VMs reported load.
+    /// Records which VMs reported load.
     pub(super) fn record_reporters(&self, vms: BTreeSet<VmId>) {
         let now = BootClock.now();
         let mut reporters = self.reporters.borrow_mut();
@@ -135,12 +134,13 @@
         reporters.retain(|_, seen| now.since(*seen) < REPORTER_TTL);
     }
 
-    /// How many VMs take requests; this one does not report to itself.
+    /// Number of VMs that take requests. This one does not report to itself.
     pub(super) fn count_vms(&self) -> usize {
         self.reporters.borrow().len() + 1
     }
 
-    /// Decides what crowded owners may be sent, and tells it with the limits that targets name.
+    /// Computes the limits of overloaded owners, and announces them with the limits that targets
+    /// report.
     pub(super) fn announce_admissions(&self) {
         let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let services = match self.policy.shared_admission.is_on() {
@@ -152,7 +152,8 @@
         if !limits.is_empty() {
             self.limits_announced_at.set(now);
         }
-        // That there are none any more is told for a while: some VMs may hear of nothing else.
+        // The end of all limits is announced for a while, because some VMs may miss the first
+        // announcement.
         let recently_ended = now.since(self.limits_announced_at.get()) < LIMITS_END_ANNOUNCE_PERIOD;
         if services.is_empty()
             && limits.is_empty()
@@ -167,7 +168,7 @@
         self.cluster.apply_admissions(AdmissionTable { stamp, services, limits });
     }
 
-    /// The ranges whose owners are crowded, by service; services without any are left out.
+    /// The ranges of overloaded owners by service; services without any are left out.
     fn limit_services(&self) -> BTreeMap<String, Vec<AdmissionRange>> {
         let controller = self.controller.borrow();
         let Some(controller) = controller.as_ref() else { return BTreeMap::new() };
@@ -181,7 +182,8 @@
             .collect()
     }
 
-    /// Ranges of one service whose owners are crowded, in the order of their keys.
+    /// The ranges of one service with overloaded owners, in the order of their keys. Keeps the most
+    /// restricted ones if there are too many.
     fn limit_service(&self, ranges: &[RangeRecord], load: &KeyLoad) -> Vec<AdmissionRange> {
         let mut owned: BTreeMap<&str, Vec<&RangeRecord>> = BTreeMap::new();
         for range in ranges {
@@ -198,7 +200,8 @@
         limited
     }
 
-    /// The ranges of an owner with the shares of their keys; none unless it is crowded.
+    /// The ranges of an owner with the admitted fractions of their keys; none unless it is
+    /// overloaded.
     fn limit_owner(
         &self,
         owner: &str,
@@ -228,7 +231,8 @@
     }
 }
 
-/// An owner's ranges with the shares of their keys; those that may be sent everything are left out.
+/// An owner's ranges with the admitted fractions of their keys, without those that are fully
+/// admitted.
 fn limited_ranges(ranges: &[&RangeRecord], fractions: &AdmissionFractions) -> Vec<AdmissionRange> {
     let hot_of = |range: &RangeRecord| {
         let inside = fractions.hot.iter().filter(|(key, _)| range.contains(*key));
