--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -1,4 +1,4 @@
-//! Who may own ranges: the targets that stay, with what each can take.
+//! Selects the targets that may own ranges, with the capacity of each.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::ControlLoop;
 use crate::{OrderPort, ServiceRule, StorePort, TargetEntry, TargetList, TargetState};
 
-/// Targets of a new service are taken to be complete when none came for this long.
+/// The targets of a new service count as complete when their number has not changed for this long.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(1_200);
-/// Answers from which a target's speed is known: fewer may all have been long or short by chance.
+/// Minimum number of samples from which a target's latency is known.
 const MIN_LATENCY_SAMPLES: u32 = 8;
-/// Cold targets own no keys while at least this part of a service is warm: a cold one bears a request in
-/// five or so of what a warm one does, and falls over for a hot key.
+/// Cold targets own no keys while at least this fraction of a service's targets is warm. A cold
+/// target serves only a fraction of a warm one's requests and fails under a hot key.
 const MIN_WARM_FRACTION: f64 = 0.5;
-/// Targets that serve nobody for a while own no keys while at least this part of a service serves: the keys
-/// of more would overrun the others, and their pauses would go round.
+/// Targets that serve nobody own no keys while at least this fraction of a service's targets
+/// serves. Moving the keys of more targets would overload the rest.
 const MIN_SERVING_FRACTION: f64 = 0.5;
-/// No target counts as more than this many times faster or slower than the usual one.
+/// Maximum factor by which a target counts as faster or slower than the mean.
 const MAX_SPEED_FACTOR: f64 = 3.0;
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Who may own ranges now, by service.
+    /// The targets that may own ranges, by service.
     pub(super) fn candidates(&self) -> Vec<(String, Vec<OwnerCandidate>)> {
         let targets = self.cluster.targets();
         let Some(declared) = self.cluster.declarations() else {
@@ -44,8 +44,8 @@
             .collect()
     }
 
-    /// The targets of a service that may own ranges: those that stay, by their entries and by their own
-    /// word, outside evacuated zones; those that are cold or serve nobody only while too few others are there.
+    /// The targets of a service that may own ranges: neither leaving nor in an evacuated zone. Cold
+    /// and paused ones are included only while too few others are available.
     fn usable_owners<'a>(
         &self,
         service: &str,
@@ -71,7 +71,7 @@
         filter_unless_too_few(available, MIN_WARM_FRACTION, is_warm)
     }
 
-    /// Leaves out targets that serve nobody for a while, unless they are many.
+    /// Leaves out targets that serve nobody, unless too few would remain.
     fn without_paused<'a>(
         &self,
         available: Vec<&'a TargetEntry>,
@@ -86,7 +86,7 @@
         filter_unless_too_few(available, MIN_SERVING_FRACTION, serves)
     }
 
-    /// Time of an unhurried answer by target, in milliseconds, of those that have shown it.
+    /// Baseline latency by target, in milliseconds, of those with enough samples.
     fn known_latencies_ms(&self) -> HashMap<String, f64> {
         let stats = self.target_stats.borrow();
         let known =
@@ -94,7 +94,7 @@
         known.map(|(target, one)| (target.clone(), one.baseline_latency.millis())).collect()
     }
 
-    /// These targets as owners, with what each can take.
+    /// These targets as owners, with the capacity of each.
     fn owner_candidates(
         &self,
         usable: &[&TargetEntry],
@@ -103,7 +103,7 @@
         let known: Vec<f64> =
             usable.iter().filter_map(|target| latencies_ms.get(&target.id).copied()).collect();
         let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-        // Unknown targets count as ordinary.
+        // Targets of unknown latency count as mean.
         let factor = |target: &TargetEntry| match latencies_ms.get(&target.id) {
             Some(millis) if mean > 0.0 => speed_factor(mean, *millis),
             _ => 1.0,
@@ -117,7 +117,7 @@
         usable.iter().map(candidate).collect()
     }
 
-    /// Tells the keeper who may own ranges now; it divides new services by it.
+    /// Passes the candidates to the controller, which assigns the ranges of new services to them.
     pub(super) fn update_candidates(&self) {
         let candidates = self.candidates();
         let loads = self.loads.borrow();
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Whether the number of a new service's targets has stood long enough to divide its keys.
+    /// Whether the number of a new service's targets has been stable long enough to assign its
+    /// keys.
     fn is_arrival_complete(&self, service: &str, count: usize, now: Timestamp) -> bool {
         let mut arrivals = self.arrivals.borrow_mut();
         let entry = arrivals.entry(service.to_owned()).or_insert((count, now));
@@ -148,7 +149,7 @@
     }
 }
 
-/// Those of the targets that are wanted, or all when those are less than this part of them.
+/// The targets that match, or all if those are less than `min_fraction` of them.
 fn filter_unless_too_few(
     targets: Vec<&TargetEntry>,
     min_fraction: f64,
@@ -160,7 +161,7 @@
     if enough { chosen } else { targets }
 }
 
-/// How many times faster than usual a target is that takes `millis`.
+/// How many times faster than the mean a target of this latency is.
 fn speed_factor(mean: f64, millis: f64) -> f64 {
     (mean / millis.max(1.0)).clamp(1.0 / MAX_SPEED_FACTOR, MAX_SPEED_FACTOR)
 }
