--- a/crates/nickellead_gateway/src/control/fleet.rs
+++ b/crates/nickellead_gateway/src/control/fleet.rs
@@ -1,5 +1,5 @@
-//! Telling all VMs which VMs take requests, so that few of them send to a cold target, and each to its part
-//! of a service.
+//! Announces the VMs that take requests, from which each VM derives its subsets and whether it
+//! sends to cold targets.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,21 +11,20 @@
 use crate::fleet::{AnnouncementStamp, FleetTable, MandateTerm};
 use crate::{OrderPort, StorePort};
 
-/// Least time between two words about the fleet, and from taking the mandate to the first one: by then all
-/// VMs have reported, who do so each half second by way of one other VM at most. While VMs are stopped in
-/// turn each word costs all others eight bytes a VM.
+/// Minimum time between two announcements, and from taking the mandate (leader lease) to the first
+/// one. All VMs report within this time, also those that report by way of another VM.
 const FLEET_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// The last word about the fleet in one term of the mandate.
+/// The last announcement in one term of the mandate.
 #[derive(Clone, Copy)]
 pub(super) struct FleetAnnouncement {
     term: MandateTerm,
-    /// When the word was told, or else when the term began.
+    /// When it was made, or when the term began if there was none.
     since: Timestamp,
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Tells which VMs take requests, if that has changed.
+    /// Announces the VMs that take requests, if they have changed.
     pub(super) fn announce_fleet(&self) {
         let Some(term) = self.cluster.mandate().as_ref().map(MandateTerm::of) else { return };
         let now = BootClock.now();
