--- a/crates/nickellead_gateway/src/control/limits.rs
+++ b/crates/nickellead_gateway/src/control/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that targets name, as all VMs report them.
+//! The limits that targets report to any VM.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,33 +14,33 @@
 use crate::load_counter::LimitCounts;
 use crate::{OrderPort, StorePort};
 
-/// A limit is over when answers have named none for this long: by then all reports of answers that named it have
-/// come, by way of one other VM at most.
+/// A limit has ended when no response has named one for this long. All reports of earlier responses
+/// arrive within this time, also those that pass another VM.
 const LIMIT_END_DELAY: Duration = Duration::from_millis(1_200);
 
-/// For so long an owner that names no limit any more is given no keys that it could not serve under it: a limit
-/// that is kept often ends the need, and keys that came back would bring it on again.
+/// After its limit has ended, an owner gets for this long no keys that it could not serve under the
+/// limit. The limit often ends because of the reduced load, and the keys would bring it back.
 const MIN_RELIEF_PERIOD: Duration = Duration::from_secs(15);
-/// Each time that the need comes back the relief lasts twice as long, up to this.
+/// The relief period doubles each time the limit returns, up to this.
 const MAX_RELIEF_PERIOD: Duration = Duration::from_secs(240);
-/// An owner that has named no limit for this long after its relief counts as one that never did.
+/// How long after its relief period an ended limit is forgotten.
 const LIMIT_FORGET_DELAY: Duration = Duration::from_secs(60);
 
-/// A limit that one life of a target named to any VM.
+/// The limit of one instance of a target.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedTargetLimit {
-    /// Requests a second from all VMs together.
+    /// Requests per second from all VMs together.
     rate: f64,
     /// When a VM last reported it.
     reported_at: Timestamp,
-    /// Since when it is over.
+    /// When it ended, if it has.
     ended_at: Option<Timestamp>,
-    /// How often it was over.
+    /// Number of times that it has ended.
     end_count: u32,
 }
 
 impl ReportedTargetLimit {
-    /// Takes in what answers said since the last look.
+    /// Applies the counts of responses since the last check.
     fn update(&mut self, counts: LimitCounts, now: Timestamp) {
         if let Some(rate) = counts.min_limit {
             (self.rate, self.reported_at, self.ended_at) = (rate, now, None);
@@ -50,19 +50,19 @@
         }
     }
 
-    /// How long its relief lasts after the limit.
+    /// The relief period after the limit has ended.
     fn relief_period(&self) -> Duration {
         let period =
             MIN_RELIEF_PERIOD * 2_u32.saturating_pow(self.end_count.saturating_sub(1).min(8));
         period.min(MAX_RELIEF_PERIOD)
     }
 
-    /// Whether the owner is given no more keys than it can serve under the limit.
+    /// Whether the owner gets no more keys than it can serve under the limit.
     fn is_relieved(&self, now: Timestamp) -> bool {
         self.ended_at.is_none_or(|ended_at| now.since(ended_at) < self.relief_period())
     }
 
-    /// Whether it means nothing any more.
+    /// Whether the limit no longer has any effect.
     fn is_forgotten(&self, now: Timestamp) -> bool {
         self.ended_at.is_some_and(|ended_at| {
             now.since(ended_at) >= self.relief_period() + LIMIT_FORGET_DELAY
@@ -71,7 +71,7 @@
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Takes in what targets said of limits since the last look.
+    /// Records the limits that targets reported since the last check.
     pub(super) fn record_limits(&self, counts: BTreeMap<TargetInstance, LimitCounts>) {
         let now = BootClock.now();
         let mut limits = self.limits.borrow_mut();
@@ -96,7 +96,7 @@
             .retain(|instance, limit| self.cluster.is_listed(instance) && !limit.is_forgotten(now));
     }
 
-    /// The limits that targets name, to be told.
+    /// The limits to announce, by target.
     pub(super) fn active_limits(&self) -> BTreeMap<String, InstanceLimit> {
         let limits = self.limits.borrow();
         let named = limits.iter().filter(|(_, limit)| limit.ended_at.is_none());
@@ -106,8 +106,8 @@
         limits.collect()
     }
 
-    /// The load that an owner bears which names a limit, or did a while ago: what callers may ask for and be
-    /// served.
+    /// The maximum load of an owner that reports a limit or is in its relief period, counted over
+    /// [`LOAD_WINDOW_S`].
     pub(super) fn max_load(&self, owner: &TargetInstance) -> Option<f64> {
         if !self.policy.limit_moves.is_on() {
             return None;
