--- a/crates/nickellead_gateway/src/control/loads.rs
+++ b/crates/nickellead_gateway/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! Load by key, and the moves that spread it.
+//! Load by key, and the moves that balance it.
 
 use nickellead_event::{EventName, log_event};
 use nickellead_range::{MoveProposal, plan_moves};
@@ -6,21 +6,23 @@
 use super::ControlLoop;
 use crate::{OrderPort, StorePort};
 
-/// What is left of counted requests after one such period: about the last three seconds count.
+/// Factor by which counted requests decay per
+/// [`BALANCE_INTERVAL`](super::ranges::BALANCE_INTERVAL).
 const LOAD_DECAY: f64 = 0.83;
-/// Seconds that counted requests stand for: a period of half a second, and [`LOAD_DECAY`] as much of each before.
+/// Length of the window that counted requests represent, in seconds.
 pub(super) const LOAD_WINDOW_S: f64 = 0.5 / (1.0 - LOAD_DECAY);
-/// The same for what counts as recent.
+/// Factor by which recent requests decay per interval.
 const RECENT_LOAD_DECAY: f64 = 0.5;
-/// Seconds that recent counts stand for: a period of half a second, and half as much of each before.
+/// Length of the window that recent requests represent, in seconds.
 pub(super) const RECENT_LOAD_WINDOW_S: f64 = 1.0;
-/// Moves under way that are always allowed; each stalls its keys for about the length of a request.
+/// Concurrent moves that are always allowed. Each one stalls its keys for about the duration of a
+/// request.
 const MIN_CONCURRENT_MOVES: usize = 4;
-/// One more move may be under way for this many targets.
+/// Number of targets that allow one more concurrent move.
 const TARGETS_PER_MOVE: usize = 8;
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Takes in what callers asked for since the last look.
+    /// Records the load since the last check.
     pub(super) fn record_load(&self) {
         let mut loads = self.loads.borrow_mut();
         let mut recent = self.recent_loads.borrow_mut();
@@ -44,7 +46,7 @@
         self.record_limits(counts.limits);
     }
 
-    /// Starts moves that spread the load better.
+    /// Starts moves that balance the load.
     pub(super) fn balance(&self) {
         if !self.policy.load_moves.is_on() {
             return;
