--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -1,4 +1,4 @@
-//! Taking, renewing and watching the mandate.
+//! The loop that acquires, renews and watches the mandate (leader lease).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,30 +13,31 @@
 use crate::relay::{SubscriptionEnd, UnavailableStorePolicy};
 use crate::{OrderPort, StoreError, StorePort, Stored};
 
-/// VMs of a fleet that starts for the first time ask for the mandate spread over this time, weak ones
-/// after the others: one of them makes it, and the others find it made.
+/// When a fleet starts for the first time, its VMs try to create the mandate spread over this time,
+/// and weak VMs after the others.
 const START_JITTER: Duration = Duration::from_millis(250);
-/// A VM that has just started follows the store when it found no other source within this time.
+/// A VM that has just started watches the store if it finds no upstream within this time.
 const UPSTREAM_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between two tries to find a source within that time.
+/// Delay between attempts to find an upstream within [`UPSTREAM_SEARCH_TIMEOUT`].
 const UPSTREAM_SEARCH_INTERVAL: Duration = Duration::from_millis(40);
-/// VMs that lose their source at once turn to the store spread over this time.
+/// VMs that lose the same upstream start to watch the store spread over this time.
 const FALL_BACK_JITTER: Duration = Duration::from_millis(400);
-/// Between two probes of the store by the mandate's holder.
+/// Interval between the mandate holder's probes of the store.
 const PROBE_INTERVAL: Duration = Duration::from_millis(330);
-/// How long a probe may take; the store takes about 4 ms when well.
+/// Timeout of a probe; a healthy store responds within a fraction of this.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Between two looks at a store that answers neither this VM nor the one at the root: whoever hears of
-/// its return sooner tells it. Of 295 VMs each made three calls a second before.
+/// Mean interval between checks of a store that responds neither to this VM nor to the one at the
+/// root. It is long because each VM checks, and the first one to reach the store informs the
+/// others.
 const UNAVAILABLE_STORE_CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Between two looks of a VM that follows another whether the mandate has run out.
+/// Interval at which a VM with an upstream checks whether the mandate has expired.
 const MANDATE_EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time between two looks at the mandate, as a part of [`MANDATE_POLL_INTERVAL`].
+/// Minimum poll interval, as a fraction of the mean one, such as [`MANDATE_POLL_INTERVAL`].
 const MIN_POLL_INTERVAL_FRACTION: f64 = 0.8;
-/// Looks of many VMs are spread over this part of [`MANDATE_POLL_INTERVAL`], so that their mean is kept.
+/// Width of the jitter of poll intervals, as a fraction of the mean interval.
 const POLL_JITTER_FRACTION: f64 = 0.4;
 
-/// Takes, renews and watches the mandate.
+/// Acquires, renews and watches the mandate.
 pub(super) async fn run_mandate_loop<S: StorePort, O: OrderPort>(control: Rc<ControlLoop<S, O>>) {
     let started = BootClock.now();
     let mut has_delayed_start = false;
@@ -65,7 +66,7 @@
                 () = control.wait_for_mandate_expiry() => continue,
             }
             if control.is_searching(started) {
-                // The holder may have just started as well.
+                // The mandate holder may have just started as well.
                 tokio::time::sleep(UPSTREAM_SEARCH_INTERVAL).await;
                 continue;
             }
@@ -78,16 +79,16 @@
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Whether a VM that knows nothing yet goes on looking for another VM that tells it.
+    /// Whether a VM that has just started still searches for an upstream.
     fn is_searching(&self, started: Timestamp) -> bool {
         let within = BootClock.now().since(started) < UPSTREAM_SEARCH_TIMEOUT;
         self.cluster.known().declarations.is_none() && within
     }
 
-    /// Has news from other VMs for as long as any tells them.
+    /// Gets updates from other VMs for as long as any provides them.
     ///
-    /// While the store answers nobody, VMs keep their places: those that hear of its return first tell
-    /// all others.
+    /// While the store is unavailable to all VMs, they keep their upstreams, and the first VM to
+    /// reach the store again informs the others.
     async fn subscribe(&self, holder: SocketAddr) {
         let mut policy = UnavailableStorePolicy::Leave;
         loop {
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Waits until the store answers this VM though it does not answer the VM at the root.
+    /// Waits until the store responds to this VM, though it does not respond to the VM at the root.
+    /// Never completes if the policy is to leave the upstream.
     async fn wait_for_store_response(&self, policy: UnavailableStorePolicy) {
         if policy == UnavailableStorePolicy::Leave {
             return std::future::pending().await;
@@ -119,23 +121,24 @@
         }
     }
 
-    /// Follows the store after the source was lost: a watch from what is known costs one call a part.
+    /// Watches the store after the upstream was lost. A watch from the known revisions costs one
+    /// call per part.
     async fn fall_back_to_store(&self) {
         if !self.relay.has_subscribers() {
             tokio::time::sleep(FALL_BACK_JITTER.mul_f64(fastrand::f64())).await;
             return self.relay.watch_store();
         }
-        // Others have their news from this VM, and need not follow it to the store if it is in touch
-        // at once. An error is noted by what reads.
+        // Subscribers can stay with this VM if it reaches the store at once. The error was recorded
+        // by the read.
         self.relay.watch_store();
         let _ = self.read_mandate().await;
     }
 
-    /// Waits until the mandate has run out, as told by other VMs; for ever on a weak VM, which leaves
-    /// it to others as long as it has news.
+    /// Waits until the mandate has expired according to updates. Never completes on a weak VM,
+    /// which leaves the mandate to others while it has an upstream.
     ///
-    /// VMs that keep their source while the holder is lost would else leave the mandate to those that
-    /// followed the holder itself, whether they are strong enough or not.
+    /// Without this check only direct subscribers of a lost mandate holder would try to take the
+    /// mandate, even if all of them are weak.
     async fn wait_for_mandate_expiry(&self) {
         if !self.takeover_delay.is_zero() {
             return std::future::pending().await;
@@ -145,17 +148,17 @@
         }
     }
 
-    /// Follows the store once the time for finding another source is over.
+    /// Watches the store once the time to find an upstream has passed.
     fn end_upstream_search(&self, started: Timestamp) {
         if BootClock.now().since(started) > UPSTREAM_SEARCH_TIMEOUT {
             self.relay.watch_store();
         }
     }
 
-    /// Reads the mandate; gives the address of its holder, if another VM holds it.
+    /// Reads the mandate. Returns the address of its holder, if another VM holds it.
     async fn read_mandate(&self) -> Result<Option<SocketAddr>, StoreError> {
         let may_take = self.mandate.borrow().due_write(BootClock.now()).is_some()
-            // While the store is away the cheapest call finds out when it is back.
+            // The cached read is the cheapest call to detect that the store is available again.
             && !self.health.is_unavailable();
         let read = match may_take {
             true => self.store.mandate().await,
@@ -177,9 +180,9 @@
         Ok(address)
     }
 
-    /// Waits, and meanwhile asks the store cheaply whether it still answers.
+    /// Waits for `wait`, and probes the store with cheap calls meanwhile.
     ///
-    /// Other VMs rely on it that the holder notices soon when the store is out of its reach.
+    /// Other VMs rely on the mandate holder to detect soon that it can't reach the store.
     async fn probe_store(&self, wait: Duration) {
         let until = Instant::now() + wait;
         while Instant::now() + PROBE_INTERVAL < until {
@@ -191,7 +194,7 @@
         tokio::time::sleep_until(until.into()).await;
     }
 
-    /// Whether this VM may take the mandate and there is anything to decide for its holder.
+    /// Whether this VM may take the mandate now.
     fn may_take_mandate(&self) -> bool {
         let mandate = self.mandate.borrow();
         !mandate.is_held() && mandate.due_write(BootClock.now()).is_some()
@@ -227,7 +230,7 @@
         }
     }
 
-    /// What does the store hold, after a write that failed, or after it came back from a copy?
+    /// Reads the mandate after a failed write, or after the store was restored from a copy.
     async fn reread_mandate(&self) {
         let read = self.store.mandate().await;
         self.health.record(&read);
@@ -244,30 +247,29 @@
         }
     }
 
-    /// Whether this VM has seen late orders and the map in the store does not say so.
+    /// Whether this VM has detected late orders that the map in the store does not record.
     fn has_unrecorded_late_orders(&self) -> bool {
         let written = self.cluster.ranges().is_some_and(|ranges| ranges.value.late_orders);
         self.late_orders.borrow().is_late(BootClock.now()) && !written
     }
 
-    /// Waits until the store can be told that this VM gives the mandate back.
+    /// Waits until the store can record that this VM releases the mandate.
     ///
-    /// While the store is away nobody else can take the mandate, so this VM goes on renewing what
-    /// stands until its process ends: keys keep their owners, and a successor that finds the
-    /// mandate given back knows that no unanswered order is left, where it would else reckon with
-    /// late ones for a quarter of a minute.
+    /// While the store is unavailable no other VM can take the mandate, so this VM keeps renewing
+    /// leases until its process ends. Keys keep their owners, and a successor that finds the
+    /// mandate released need not wait for late orders.
     pub(super) async fn wait_to_release_mandate(&self) {
         while self.mandate.borrow().is_held() && self.health.is_unavailable() {
             self.probe_store(PROBE_INTERVAL + PROBE_TIMEOUT).await;
         }
     }
 
-    /// Gives the mandate back so that another VM takes it without waiting.
+    /// Releases the mandate, so that another VM takes it without waiting.
     pub(super) async fn release_mandate(&self) {
         let unrecorded = self.has_unrecorded_late_orders();
         self.controller.replace(None);
         if unrecorded {
-            // A successor must not take it that this VM left nothing unsaid.
+            // A successor must not assume that no late order is outstanding.
             return log_event(EventName::MandateHandedOver, &[("done", &false)]);
         }
         let write = self.mandate.borrow_mut().vacating_write(BootClock.now());
@@ -275,7 +277,7 @@
             let response = self.store.write_mandate(write.expected, &write.record).await;
             let done = response.is_ok();
             if let Ok(revision) = response {
-                // Those who follow this VM hear of it at once.
+                // Subscribers of this VM receive the release at once.
                 self.cluster.apply_mandate(&Stored { revision, value: write.record });
             }
             log_event(EventName::MandateHandedOver, &[("done", &done)]);
