--- a/crates/nickellead_gateway/src/control/map_writes.rs
+++ b/crates/nickellead_gateway/src/control/map_writes.rs
@@ -1,4 +1,4 @@
-//! Writing the map of ranges, and what follows when a write fails.
+//! Writes the map of ranges, and handles writes that fail.
 
 use std::rc::Rc;
 
@@ -9,11 +9,12 @@
 use crate::{OrderPort, Revision, Snapshot, StoreError, StorePort, Stored};
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Writes the map if it changed.
+    /// Writes the map if it has changed.
     pub(super) fn write_map(self: &Rc<Self>) {
         let write = self.controller.borrow_mut().as_mut().and_then(RangeController::take_write);
         let Some((map, edit)) = write else { return };
-        // The revision belongs to this keeper: one made before the write starts has another.
+        // This revision belongs to the current controller; a controller created later has another
+        // one.
         let expected = self.map_revision.get();
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
@@ -27,7 +28,7 @@
         });
     }
 
-    /// Takes in that a map is in the store, and tells it on.
+    /// Records that a map is in the store, and publishes it.
     fn record_map_written(&self, revision: Revision, map: RangeMap, edit: u64) {
         if self.controller_writer() == Some(map.writer) {
             self.map_revision.set(Some(revision));
@@ -47,9 +48,10 @@
         self.cluster.apply_ranges(revision, Some(Stored { revision, value: map }));
     }
 
-    /// After a write that failed: did it succeed all the same, or did somebody else write?
+    /// Reads the map after a failed write, to find out whether the write succeeded or another VM
+    /// wrote.
     ///
-    /// A keeper that was made meanwhile has read the store itself and is left alone.
+    /// A controller that was created meanwhile has read the store itself and is not changed.
     async fn reread_map(&self, writer: u64, error: &StoreError) {
         self.health.backoff().await;
         let read = self.store.ranges().await;
@@ -77,14 +79,15 @@
         }
     }
 
-    /// Lets the keeper write again.
+    /// Lets the controller write again.
     fn record_write_failed(&self) {
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
             controller.abort_write();
         }
     }
 
-    /// By which number the keeper's writes are told from those of others; `None` without a keeper.
+    /// The number that distinguishes the controller's writes from others; `None` without a
+    /// controller.
     pub(super) fn controller_writer(&self) -> Option<u64> {
         self.controller.borrow().as_ref().map(|controller| controller.map().writer)
     }
