--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! The control duty: follows the store, and on one VM keeps the ranges.
+//! The control loop: maintains the cluster state, and manages ranges on the VM that holds the
+//! mandate (leader lease).
 //!
-//! This module holds the duty's state, its start and its end. `mandate` takes,
-//! renews and watches the mandate; `ranges` is what its holder does at each
-//! look: `candidates` says who may own ranges, `loads` counts load and starts
-//! moves, `admission` limits what crowded owners are sent, `limits` knows what targets
-//! name, `map_writes` writes the map, `orders` sends what is due.
+//! This module holds the loop's state, its start and its end. `mandate` acquires, renews and
+//! watches the mandate, and `ranges` is the loop of the mandate holder: `candidates` selects the
+//! targets that may own ranges, `loads` records load and starts moves, `admission` limits the
+//! requests for overloaded owners, `limits` tracks the limits that targets report, `fleet`
+//! announces the VMs that take requests, `map_writes` writes the map, and `orders` sends orders.
 
 mod admission;
 mod candidates;
@@ -44,22 +45,22 @@
     ColdSettings, OrderPort, OwnershipSettings, PolicySettings, Revision, StoreEra, StorePort,
 };
 
-/// A VM whose share of a core is smaller takes the mandate only if nobody else does.
+/// A VM with a smaller share of a core is weak: it takes the mandate only if no other VM does.
 const WEAK_VM_CPU_SHARE: f64 = 0.2;
-/// So does a VM with a slower link, in Mbit/s: the holder reads declarations whole, a megabyte with
-/// 4,300 routes, and tells fifteen others of each change.
+/// A VM with a slower link is weak as well, in Mbit/s: the mandate holder reads whole declarations
+/// and sends changes to many subscribers.
 const WEAK_VM_LINK_MBPS: f64 = 50.0;
-/// How much longer than others such a VM waits before it takes the mandate.
+/// How much longer than others a weak VM waits before it takes the mandate.
 const WEAK_VM_TAKEOVER_DELAY: Duration = Duration::from_millis(900);
 
-/// Numbers drawn at random are below this one.
+/// Exclusive upper bound of random ids.
 const RANDOM_ID_END: u64 = 1 << 53;
 
-/// What the control duty is built from.
+/// Settings and shared dependencies of the control loop.
 pub(crate) struct ControlContext {
     pub(crate) vm: String,
     pub(crate) zone: String,
-    /// Where other VMs reach this one.
+    /// Address at which other VMs reach this one.
     pub(crate) announced_address: SocketAddr,
     pub(crate) cpu_share: f64,
     pub(crate) link_mbps: Option<f64>,
@@ -69,13 +70,13 @@
     pub(crate) load_counter: LoadCounter,
     pub(crate) metrics: ControlMetrics,
     pub(crate) policy: PolicySettings,
-    /// What all VMs together may send a cold target.
+    /// Bounds on what all VMs together send to a cold target.
     pub(crate) cold_settings: Option<ColdSettings>,
     /// Whether availability zones may be evacuated.
     pub(crate) follows_evacuations: bool,
 }
 
-/// The control duty of one VM.
+/// The control loop of one VM.
 struct ControlLoop<S, O> {
     store: Rc<S>,
     orders: Rc<O>,
@@ -83,46 +84,47 @@
     cluster: Rc<ClusterState>,
     relay: Rc<UpdateRelay>,
     mandate: RefCell<MandateState>,
-    /// Stands while this VM holds the mandate, also when it ran out.
+    /// Present while this VM holds the mandate, also when the mandate has expired.
     controller: RefCell<Option<RangeController>>,
-    /// The store's era at the last look.
+    /// The store's era at the last check.
     era: Cell<StoreEra>,
-    /// Whether the mandate allowed nothing at the last look.
+    /// Whether the mandate gave no authority at the last check.
     without_authority: Cell<bool>,
-    /// Revision of the map that the keeper works on; `None` while there is no map.
+    /// Revision of the controller's map in the store; `None` if the store has no map.
     map_revision: Cell<Option<Revision>>,
     /// Load by key, by service.
     loads: RefCell<HashMap<String, KeyLoad>>,
-    /// The same over the last second only.
+    /// Load over the last second, by service.
     recent_loads: RefCell<HashMap<String, KeyLoad>>,
-    /// What all VMs saw of each target.
+    /// Statistics of targets from all VMs, by target.
     target_stats: RefCell<HashMap<String, TargetStats>>,
-    /// VMs that reported load, and when they last did.
+    /// VMs that reported load, with the time of their last report.
     reporters: RefCell<HashMap<VmId, Timestamp>>,
-    /// Number of the last word about crowded owners.
+    /// Sequence number of the last admission table.
     admission_sequence: Cell<u64>,
-    /// Limits that listed targets name.
+    /// Limits that listed targets report.
     limits: RefCell<BTreeMap<TargetInstance, ReportedTargetLimit>>,
-    /// When a limit of a target was last told.
+    /// When a limit of a target was last announced.
     limits_announced_at: Cell<Timestamp>,
-    /// Listed targets that said that they leave, on answers to requests of any VM or to orders.
+    /// Listed targets that announced that they leave, on responses to requests of any VM or to
+    /// orders.
     leaving: RefCell<BTreeSet<TargetInstance>>,
-    /// What this process saw of late orders, over all its keepers.
+    /// Late orders that this process has detected, across all its controllers.
     late_orders: RefCell<LateOrderDetector>,
-    /// Number of a service's targets, and since when it stands.
+    /// Number of targets by new service, and since when it has not changed.
     arrivals: RefCell<HashMap<String, (usize, Timestamp)>>,
-    /// What the request duty has counted since the last look.
+    /// What the request thread has counted since the last check.
     load_counter: LoadCounter,
     ownership: OwnershipSettings,
     metrics: ControlMetrics,
     policy: PolicySettings,
     cold_settings: Option<ColdSettings>,
     follows_evacuations: bool,
-    /// Which zones are evacuated, and since when.
+    /// Evacuated availability zones, and when others returned.
     zones: RefCell<ZoneStates>,
-    /// This VM, among those that take requests.
+    /// This VM in the announcements of VMs that take requests.
     vm_id: VmId,
-    /// The last word about the fleet.
+    /// The last announcement of the VMs that take requests.
     fleet_announcement: Cell<Option<FleetAnnouncement>>,
     vm: String,
     /// How much longer than others this VM waits before it takes the mandate.
@@ -181,9 +183,9 @@
         })
     }
 
-    /// Starts telling other VMs the news, and following the store where no VM tells them.
+    /// Starts to serve updates to other VMs, and to watch the store when no VM provides updates.
     fn start_updates(&self, peers: TcpListener) {
-        // Only a listener outside a runtime fails here, and this function runs inside one.
+        // This fails only outside a runtime, and this function runs inside one.
         if let Ok(listener) = tokio::net::TcpListener::from_std(peers) {
             actix_rt::spawn(serve_updates(Rc::clone(&self.relay), listener));
         }
@@ -198,13 +200,13 @@
     }
 }
 
-/// Starts the thread.
+/// Starts the control thread.
 ///
-/// Other VMs ask for news at `peers`; `stopping` turns true when the VM stops;
-/// `ports` makes the store and the orders on the thread itself.
+/// `peers` accepts other VMs' requests for updates, `stopping` becomes true when the VM stops, and
+/// `ports` creates the store and order ports on the thread itself.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// The error of the operating system if it can't create a thread.
 pub(crate) fn start<S: StorePort, O: OrderPort>(
     context: ControlContext,
     peers: TcpListener,
@@ -221,7 +223,7 @@
     })
 }
 
-/// Runs the control duty until the VM stops, and then tells news until the process ends.
+/// Runs the control loop until the VM stops, and then serves updates until the process ends.
 async fn run<S: StorePort, O: OrderPort>(
     control: Rc<ControlLoop<S, O>>,
     peers: TcpListener,
@@ -230,27 +232,27 @@
     control.start_updates(peers);
     let mandate = actix_rt::spawn(run_mandate_loop(Rc::clone(&control)));
     let ranges = actix_rt::spawn(run_ranges_loop(Rc::clone(&control)));
-    // An error would mean that the VM is gone, and then this thread may end too.
+    // An error means that the VM's handle is gone, and then this thread may end too.
     let _ = stopping.wait_for(|stopping| *stopping).await;
     mandate.abort();
     control.wait_to_release_mandate().await;
     ranges.abort();
     control.release_mandate().await;
     control.relay.watch_store();
-    // The request duty still needs news until the process ends.
+    // The request thread needs updates until the process ends.
     std::future::pending::<()>().await;
 }
 
-/// A number that tells lives of processes, or keepers, apart.
+/// A random id that distinguishes processes or controllers.
 ///
-/// It stands in documents of the store, and JSON keeps whole numbers exactly below 2^53 only.
+/// It is written to documents of the store, and JSON numbers are exact only below 2^53.
 pub(crate) fn random_id() -> u64 {
     fastrand::u64(1..RANDOM_ID_END)
 }
 
 /// How much longer than others a VM waits before it takes the mandate.
 ///
-/// Its holder serves all other VMs, which a weak VM does only if nobody else will.
+/// The mandate holder serves all other VMs. A weak VM takes this role only if no other VM does.
 fn takeover_delay(cpu_share: f64, link_mbps: Option<f64>) -> Duration {
     let weak =
         cpu_share < WEAK_VM_CPU_SHARE || link_mbps.is_some_and(|rate| rate < WEAK_VM_LINK_MBPS);
