--- a/crates/nickellead_gateway/src/control/orders.rs
+++ b/crates/nickellead_gateway/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Sending orders to targets, and logging those that failed.
+//! Sends orders to targets, and logs those that fail.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use super::ranges::controller_settings;
 use crate::{OrderPort, OrderReply, StorePort};
 
-/// How long a target may take to answer a grant.
+/// Timeout of a target's response to a grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same for a release, which is answered when the work that runs has ended.
+/// Timeout of the response to a release, which a target sends when its running requests have ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An order that was decided longer ago is not sent: what it rests on may have changed.
+/// An order that was decided longer ago is not sent, because the state behind it may have changed.
 const MAX_ORDER_AGE: Duration = Duration::from_millis(250);
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Sends the orders that are due, all at once, and takes in what becomes of each.
+    /// Sends all due orders concurrently, and records the outcome of each.
     pub(super) fn send_orders(self: &Rc<Self>, authority: MandateAuthority) {
         let writer = self.controller_writer();
         let renewals_only = authority == MandateAuthority::RenewalsOnly;
@@ -41,7 +41,8 @@
                 let late_until = controller_settings(&control.ownership).late_lease_bound(now);
                 control.late_orders.borrow_mut().observe_outcome(&order, &outcome, now, late_until);
                 if control.controller_writer() != writer {
-                    // The keeper made meanwhile reckons with every order sent before it.
+                    // The current controller already counts on every order that was sent before it
+                    // was created.
                     return;
                 }
                 if let Some(controller) = control.controller.borrow_mut().as_mut() {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Sends one order, if the mandate still allows it at this moment.
+    /// Sends one order, if the mandate (leader lease) still allows it at this moment.
     async fn send_order(&self, order: &RangeOrder) -> OrderReply {
         let now = BootClock.now();
         let authority = self.mandate.borrow().authority(now);
@@ -71,7 +72,7 @@
         reply
     }
 
-    /// Takes in which targets told any VM that they leave.
+    /// Records the targets that announced to any VM that they leave.
     pub(super) fn record_reported_leaving(&self) {
         for instance in self.load_counter.take_leaving() {
             self.record_leaving(&instance, "request");
@@ -79,7 +80,7 @@
         self.leaving.borrow_mut().retain(|instance| self.cluster.is_listed(instance));
     }
 
-    /// Notes a target that said that it leaves: it is to own no keys.
+    /// Records a target that announced that it leaves; it gets no more keys.
     fn record_leaving(&self, instance: &TargetInstance, reported_on: &str) {
         if self.leaving.borrow_mut().insert(instance.clone()) {
             let pairs: [(&str, &dyn std::fmt::Display); 2] =
