--- a/crates/nickellead_gateway/src/control/ranges.rs
+++ b/crates/nickellead_gateway/src/control/ranges.rs
@@ -1,4 +1,4 @@
-//! What the mandate's holder does at each look: keeps a keeper, and does what it decides.
+//! The loop that manages ranges on the VM that holds the mandate (leader lease).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use super::{ControlLoop, random_id};
 use crate::{OrderPort, OwnershipSettings, StorePort, Stored};
 
-/// Between two looks at what is due.
+/// Interval between checks for due work.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
-/// Between two looks at how load is spread.
+/// Interval between checks of the load balance.
 pub(super) const BALANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Between two tries of an order that was not answered: well below a target's hold time.
+/// Interval between attempts of an unanswered order; well below the lease of a range.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Added to every bound on a hold, for messages under way.
+/// Margin for messages in transit, added to every bound on a lease.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
-/// `applied_late` carries orders out 2 to 12 seconds later.
+/// How long after it was sent an unanswered order may still take effect at a target.
 const MAX_ORDER_LATENESS: Duration = Duration::from_millis(12_500);
-/// The users' targets may run 2% slow.
+/// Bound on the drift of targets' clocks, with a margin over the drift that the platform specifies.
 const MAX_TARGET_CLOCK_DRIFT: DriftBound = DriftBound { parts_per_million: 25_000 };
 
-/// Sees to orders, writes of the map and moves, for as long as the mandate is held.
+/// Manages orders, writes of the map and moves, for as long as the control loop runs.
 pub(super) async fn run_ranges_loop<S: StorePort, O: OrderPort>(control: Rc<ControlLoop<S, O>>) {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -43,15 +43,15 @@
 }
 
 impl<S: StorePort, O: OrderPort> ControlLoop<S, O> {
-    /// Does what is due now, as far as this VM's mandate allows.
+    /// Does the work that is due, as far as the VM's authority allows.
     async fn update_ranges(self: &Rc<Self>, now: Timestamp, balance_due: bool) {
         self.apply_received_mandate(now);
         self.observe_era(now);
         let authority = self.mandate.borrow().authority(now);
         self.metrics.mandate.set(i64::from(authority != MandateAuthority::None));
         if authority == MandateAuthority::None {
-            // A mandate that only ran out is renewed by nobody but this VM, unless it is lost: what
-            // the keeper knows of holds stays true, and lost targets' keys need not wait anew.
+            // Only this VM renews an expired mandate, unless it is lost. What the controller knows
+            // of leases stays valid, so that the keys of lost targets need not wait again.
             if !self.mandate.borrow().is_held() {
                 self.controller.replace(None);
             }
@@ -84,7 +84,7 @@
         self.send_orders(authority);
     }
 
-    /// Takes in the mandate that another VM told, as soon as it is told.
+    /// Applies the mandate that another VM sent, if this VM does not hold it.
     fn apply_received_mandate(&self, now: Timestamp) {
         if !self.mandate.borrow().is_held() {
             let mandate = self.cluster.mandate();
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Takes in which era of the store is the newest that this VM heard of.
+    /// Records the newest era of the store that this VM has observed.
     fn observe_era(&self, now: Timestamp) {
         let era = self.store.era();
         self.mandate.borrow_mut().observe_era(era, now);
         self.metrics.set_era(era, self.store.invalid_eras());
         if era > self.era.replace(era) {
-            // Watches of the era before hear nothing of this one.
+            // Watches that were started in an earlier era receive no changes of this one.
             self.health.recovered.notify_waiters();
         }
     }
 
-    /// Goes on with the keeper, if there is one, in the newest era of the store.
+    /// Moves the controller, if there is one, to the newest era of the store.
     fn enter_era(&self) {
         let mandate = self.mandate.borrow();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether somebody else wrote the map after this VM's keeper read it.
+    /// Whether another VM wrote the map after this VM's controller read it.
     fn is_controller_outdated(&self) -> bool {
         let known = self.map_revision.get().unwrap_or_default();
         let Some(writer) = self.controller_writer() else { return false };
@@ -120,7 +120,7 @@
         self.cluster.ranges().as_ref().is_some_and(foreign)
     }
 
-    /// Reads the map and makes a keeper of it; tells whether that succeeded.
+    /// Reads the map and creates a controller from it; returns whether that succeeded.
     async fn load_controller(&self) -> bool {
         let read = self.store.ranges().await;
         self.health.record(&read);
@@ -144,7 +144,7 @@
     }
 }
 
-/// The keeper's times on the users' platform.
+/// The controller's settings from the lease times of the VM's settings.
 pub(super) fn controller_settings(ownership: &OwnershipSettings) -> ControllerSettings {
     ControllerSettings {
         lease: ownership.lease(),
