--- a/crates/nickellead_gateway/src/cluster_state/mod.rs
+++ b/crates/nickellead_gateway/src/cluster_state/mod.rs
@@ -407,9 +407,9 @@
         let mut mandate = self.mandate.borrow_mut();
         if mandate.as_ref().is_none_or(|known| new.revision > known.revision) {
             let holder = mandate.as_ref().map(|known| (known.value.vm.clone(), known.value.vacant));
-            let same = holder == Some((new.value.vm.clone(), new.value.vacant));
+            let is_same_holder = holder == Some((new.value.vm.clone(), new.value.vacant));
             *mandate = Some(new.clone());
-            if !same {
+            if !is_same_holder {
                 self.changed.notify_waiters();
             }
         }
--- a/crates/nickellead_gateway/src/cluster_state/targets.rs
+++ b/crates/nickellead_gateway/src/cluster_state/targets.rs
@@ -257,7 +257,7 @@
         if number < oldest || number > self.last_change {
             return None;
         }
-        let new = self.changes.iter().filter(|(one, _)| *one > number);
+        let new = self.changes.iter().filter(|(change_number, _)| *change_number > number);
         let current = |change: &TargetChange| match change {
             TargetChange::Listed(entry) => TargetChange::Listed(self.with_current_cold_time(entry)),
             TargetChange::Gone(_) | TargetChange::Unreadable(_) => change.clone(),
--- a/crates/nickellead_gateway/src/cluster_state/updates.rs
+++ b/crates/nickellead_gateway/src/cluster_state/updates.rs
@@ -130,7 +130,7 @@
     /// The update for a subscriber at `cursor`.
     pub(crate) fn update_since(&self, cursor: StateCursor) -> StateUpdate {
         let known = self.known.get();
-        let same = cursor.incarnation == self.incarnation;
+        let is_same_upstream = cursor.incarnation == self.incarnation;
         let mut update = StateUpdate {
             cursor: StateCursor { incarnation: self.incarnation, ..cursor },
             declarations_as_of: known.declarations.unwrap_or_default(),
@@ -138,7 +138,7 @@
             ..StateUpdate::default()
         };
         self.announce_declarations(&mut update);
-        self.add_targets(&mut update, same);
+        self.add_targets(&mut update, is_same_upstream);
         self.add_ranges(&mut update);
         self.add_mandate(&mut update);
         self.add_admissions(&mut update);
@@ -159,8 +159,8 @@
     ///
     /// The subscriber may know newer targets than this VM. It then keeps its list until this VM has
     /// caught up.
-    fn add_targets(&self, update: &mut StateUpdate, same: bool) {
-        let from = update.cursor.targets.take().filter(|_| same);
+    fn add_targets(&self, update: &mut StateUpdate, is_same_upstream: bool) {
+        let from = update.cursor.targets.take().filter(|_| is_same_upstream);
         let mut targets = self.targets.borrow_mut();
         let Some(as_of) = targets.revision else { return };
         if from.is_none() && update.cursor.targets_revision.is_some_and(|reached| reached > as_of) {
--- a/crates/nickellead_gateway/src/control/candidates.rs
+++ b/crates/nickellead_gateway/src/control/candidates.rs
@@ -82,16 +82,17 @@
         }
         let stats = self.target_stats.borrow();
         let serves =
-            |target: &TargetEntry| stats.get(&target.id).is_none_or(|one| !one.is_paused(now));
+            |target: &TargetEntry| stats.get(&target.id).is_none_or(|stats| !stats.is_paused(now));
         filter_unless_too_few(available, MIN_SERVING_FRACTION, serves)
     }
 
     /// Baseline latency by target, in milliseconds, of those with enough samples.
     fn known_latencies_ms(&self) -> HashMap<String, f64> {
         let stats = self.target_stats.borrow();
-        let known =
-            stats.iter().filter(|(_, one)| one.baseline_latency.samples() >= MIN_LATENCY_SAMPLES);
-        known.map(|(target, one)| (target.clone(), one.baseline_latency.millis())).collect()
+        let known = stats
+            .iter()
+            .filter(|(_, stats)| stats.baseline_latency.samples() >= MIN_LATENCY_SAMPLES);
+        known.map(|(target, stats)| (target.clone(), stats.baseline_latency.millis())).collect()
     }
 
     /// These targets as owners, with the capacity of each.
--- a/crates/nickellead_gateway/src/control/mandate.rs
+++ b/crates/nickellead_gateway/src/control/mandate.rs
@@ -128,8 +128,8 @@
             tokio::time::sleep(FALL_BACK_JITTER.mul_f64(fastrand::f64())).await;
             return self.relay.watch_store();
         }
-        // Subscribers can stay with this VM if it reaches the store at once. The error was recorded
-        // by the read.
+        // Subscribers can stay with this VM if it reaches the store at once. `read_mandate` records
+        // an error.
         self.relay.watch_store();
         let _ = self.read_mandate().await;
     }
@@ -194,7 +194,7 @@
         tokio::time::sleep_until(until.into()).await;
     }
 
-    /// Whether this VM may take the mandate now.
+    /// Whether this VM may take the mandate now and does not hold it.
     fn may_take_mandate(&self) -> bool {
         let mandate = self.mandate.borrow();
         !mandate.is_held() && mandate.due_write(BootClock.now()).is_some()
--- a/crates/nickellead_gateway/src/relay/publishing.rs
+++ b/crates/nickellead_gateway/src/relay/publishing.rs
@@ -52,8 +52,8 @@
             .filter(|(_, subscriber)| subscriber.zone == request.zone)
             .collect();
         if near.len() >= DIRECT_SUBSCRIBERS_PER_ZONE {
-            // Counts VMs that failed this subscriber as well. Otherwise all VMs of a zone that lost
-            // one upstream would subscribe to the mandate holder.
+            // `near` includes VMs that failed this subscriber. Otherwise all VMs of a zone that
+            // lost one upstream would subscribe to the mandate holder.
             let others = near.into_iter().filter(|(address, _)| !request.avoid.contains(address));
             if let Some((address, subscriber)) =
                 others.min_by_key(|(_, subscriber)| subscriber.redirected)
@@ -71,8 +71,8 @@
         None
     }
 
-    /// Until when this VM, disconnected since `since`, may reconnect before its subscribers are
-    /// told that it is disconnected.
+    /// Until when this VM, disconnected since `since`, may reconnect before it reports to its
+    /// subscribers that it is disconnected.
     fn reconnect_deadline(&self, since: Instant) -> Instant {
         match self.upstream.get() {
             // The first updates are about to arrive.
--- a/crates/nickellead_gateway/src/worker/attempts.rs
+++ b/crates/nickellead_gateway/src/worker/attempts.rs
@@ -22,22 +22,22 @@
     /// # Errors The reason for the refusal when no attempt gave a response.
     pub(super) async fn serve(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
     ) -> Result<TargetResponse, ErrorKind> {
-        let weighted = planned.route.next_service().ok_or(ErrorKind::NoTarget)?;
-        self.record_request(planned, &weighted.service);
-        if !self.is_admitted(planned, &weighted.service) {
+        let weighted = incoming.route.next_service().ok_or(ErrorKind::NoTarget)?;
+        self.record_request(incoming, &weighted.service);
+        if !self.is_admitted(incoming, &weighted.service) {
             return Err(ErrorKind::Overloaded);
         }
         let mut attempts = AttemptState::default();
         loop {
-            let waiting = self.wait_for_target(planned, &weighted.service, &attempts);
+            let waiting = self.wait_for_target(incoming, &weighted.service, &attempts);
             let target = match self.until_drain_end(waiting).await.flatten() {
                 Ok(target) => target,
                 Err(kind) => return finish(attempts, kind),
             };
             let since = Instant::now();
-            let sending = self.attempt(planned, &weighted.service, &target);
+            let sending = self.attempt(incoming, &weighted.service, &target);
             let end = match self.until_drain_end(sending).await {
                 Ok(end) => end,
                 Err(kind) => {
@@ -46,7 +46,7 @@
                 }
             };
             self.apply_signals(&weighted.service, &target, end.signals, end.sent_at);
-            match self.next_step(planned, &target, &mut attempts, end, since.elapsed()) {
+            match self.next_step(incoming, &target, &mut attempts, end, since.elapsed()) {
                 NextStep::Done(response) => return Ok(response),
                 NextStep::Fail(kind) => return finish(attempts, kind),
                 NextStep::Retry => {}
@@ -54,7 +54,7 @@
             if self.owner_is_paused(&weighted.service, &target) {
                 return finish(attempts, ErrorKind::TargetPaused);
             }
-            if !self.take_retry_permit(planned, &weighted.service, &attempts) {
+            if !self.take_retry_permit(incoming, &weighted.service, &attempts) {
                 let kind = attempts.refusal_kind();
                 return finish(attempts, kind);
             }
@@ -74,9 +74,9 @@
     }
 
     /// Adds a request to the retry budget and to the load of its key.
-    fn record_request(&self, planned: &IncomingRequest, service: &str) {
+    fn record_request(&self, incoming: &IncomingRequest, service: &str) {
         self.retry_budget.borrow_mut().record_request(service);
-        if let Some(key) = planned.key
+        if let Some(key) = incoming.key
             && self.state.borrow().is_sharded(service)
         {
             self.load_counter.record_request(service, key);
@@ -86,8 +86,8 @@
     /// Whether a request may go to the owner of its key while the VMs together overload that owner.
     ///
     /// The decision is random, so that VMs need not coordinate.
-    fn is_admitted(&self, planned: &IncomingRequest, service: &str) -> bool {
-        let Some(key) = planned.key.filter(|_| self.policy.shared_admission.is_on()) else {
+    fn is_admitted(&self, incoming: &IncomingRequest, service: &str) -> bool {
+        let Some(key) = incoming.key.filter(|_| self.policy.shared_admission.is_on()) else {
             return true;
         };
         let admitted_fraction = self.state.borrow().admissions.fraction(service, key);
@@ -97,13 +97,13 @@
     /// Whether one more attempt is allowed. If so, charges it to the service's retry budget.
     fn take_retry_permit(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         attempts: &AttemptState,
     ) -> bool {
         let within =
-            attempts.sent < planned.route.rule.attempts && attempts.unsent < MAX_UNSENT_ATTEMPTS;
-        if !within || planned.remaining() < RESPONSE_RETURN_RESERVE * 2 {
+            attempts.sent < incoming.route.rule.attempts && attempts.unsent < MAX_UNSENT_ATTEMPTS;
+        if !within || incoming.remaining() < RESPONSE_RETURN_RESERVE * 2 {
             return false;
         }
         // Attempts that were not sent add no load to targets.
@@ -114,22 +114,23 @@
     /// Sends a request to one target, which counts it as running meanwhile.
     async fn attempt(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         target: &Rc<RegisteredTarget>,
     ) -> AttemptEnd {
         let _running = InFlightGuard::new(target, &self.queue(service));
         let until =
-            planned.deadline.checked_sub(RESPONSE_RETURN_RESERVE).unwrap_or(planned.deadline);
+            incoming.deadline.checked_sub(RESPONSE_RETURN_RESERVE).unwrap_or(incoming.deadline);
         let plan = AttemptPlan {
             target,
-            repeat: planned.route.rule.repeat,
+            repeat: incoming.route.rule.repeat,
             leaving_window: self.leaving_window,
             deadline: until,
         };
         let guard = AbandonGuard { target, since: Instant::now(), armed: true };
-        let latency_target = planned.route.rule.latency_target;
-        let mut sending = std::pin::pin!(run_attempt(&self.header_names, &planned.outgoing, &plan));
+        let latency_target = incoming.route.rule.latency_target;
+        let mut sending =
+            std::pin::pin!(run_attempt(&self.header_names, &incoming.outgoing, &plan));
         let end = match tokio::time::timeout(latency_target, &mut sending).await {
             Ok(end) => end,
             Err(_) => {
--- a/crates/nickellead_gateway/src/worker/mod.rs
+++ b/crates/nickellead_gateway/src/worker/mod.rs
@@ -278,21 +278,22 @@
             let state = self.state.borrow();
             (Rc::clone(&state.routes), state.limits)
         };
-        let planned = match read_request(request, &self.header_names, limits, &routes).await {
-            Ok(planned) if self.policy.caller_age.is_on() => planned,
-            Ok(planned) => IncomingRequest { caller_age: Duration::ZERO, ..planned },
+        let incoming = match read_request(request, &self.header_names, limits, &routes).await {
+            Ok(incoming) if self.policy.caller_age.is_on() => incoming,
+            Ok(incoming) => IncomingRequest { caller_age: Duration::ZERO, ..incoming },
             Err(kind) => return self.refuse_unread(kind, &id),
         };
-        if self.drain.ends_before(planned.deadline) {
-            return self.refuse(ErrorKind::Stopping, &id, Some(&planned));
+        if self.drain.ends_before(incoming.deadline) {
+            return self.refuse(ErrorKind::Stopping, &id, Some(&incoming));
         }
-        match self.serve(&planned).await {
+        match self.serve(&incoming).await {
             Ok(response) => {
-                self.metrics.record_response(planned.main_service(), planned.arrived_at.elapsed());
-                self.log_sample(&id, &planned, &response);
+                self.metrics
+                    .record_response(incoming.main_service(), incoming.arrived_at.elapsed());
+                self.log_sample(&id, &incoming, &response);
                 forward_response(response)
             }
-            Err(kind) => self.refuse(kind, &id, Some(&planned)),
+            Err(kind) => self.refuse(kind, &id, Some(&incoming)),
         }
     }
 
--- a/crates/nickellead_gateway/src/worker/outcome.rs
+++ b/crates/nickellead_gateway/src/worker/outcome.rs
@@ -24,42 +24,42 @@
     /// Records the outcome of an attempt and returns the next step.
     pub(super) fn next_step(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         target: &Rc<RegisteredTarget>,
         attempts: &mut AttemptState,
         end: AttemptEnd,
         latency: Duration,
     ) -> NextStep {
         let (result, signals) = (end.result, end.signals);
-        self.record_outcome(planned, target, &result, signals, latency);
+        self.record_outcome(incoming, target, &result, signals, latency);
         count_attempt(attempts, target, &result);
         if let Some(reason) = retry_reason(&result) {
-            log_retry(planned, target, reason);
+            log_retry(incoming, target, reason);
         }
         match result {
             AttemptResult::Responded(response) if response.status.is_server_error() => {
-                after_failure(planned, attempts, response)
+                after_failure(incoming, attempts, response)
             }
             AttemptResult::Responded(response) => NextStep::Done(response),
             AttemptResult::Shed
             | AttemptResult::Misdirected
             | AttemptResult::NotSent(_)
             | AttemptResult::Withheld => NextStep::Retry,
-            AttemptResult::Lost(reason) => after_loss(planned, reason),
+            AttemptResult::Lost(reason) => after_loss(incoming, reason),
         }
     }
 
     /// Updates the health, latency and limit of the target.
     fn record_outcome(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         target: &RegisteredTarget,
         result: &AttemptResult,
         signals: ResponseSignals,
         latency: Duration,
     ) {
         let latency_target = match self.policy.answer_time_limit.is_on() {
-            true => planned.route.rule.latency_target,
+            true => incoming.route.rule.latency_target,
             false => Duration::MAX,
         };
         let now = BootClock.now();
@@ -72,7 +72,7 @@
                 self.load_counter.record_response(
                     &target.id,
                     latency,
-                    planned.route.rule.latency_target,
+                    incoming.route.rule.latency_target,
                 );
                 record_response(target, latency, latency_target, now);
             }
@@ -219,17 +219,17 @@
 }
 
 /// Whether the request may run more than once.
-fn is_repeatable(planned: &IncomingRequest) -> bool {
-    planned.route.rule.repeat == RepeatClass::Safe
+fn is_repeatable(incoming: &IncomingRequest) -> bool {
+    incoming.route.rule.repeat == RepeatClass::Safe
 }
 
 /// The next step after a target responded with a server error.
 fn after_failure(
-    planned: &IncomingRequest,
+    incoming: &IncomingRequest,
     attempts: &mut AttemptState,
     response: TargetResponse,
 ) -> NextStep {
-    if !is_repeatable(planned) {
+    if !is_repeatable(incoming) {
         return NextStep::Done(response);
     }
     attempts.response = Some(response);
@@ -237,8 +237,8 @@
 }
 
 /// The next step after a request was sent and no usable response arrived.
-fn after_loss(planned: &IncomingRequest, reason: LossReason) -> NextStep {
-    if is_repeatable(planned) && reason != LossReason::Late {
+fn after_loss(incoming: &IncomingRequest, reason: LossReason) -> NextStep {
+    if is_repeatable(incoming) && reason != LossReason::Late {
         return NextStep::Retry;
     }
     NextStep::Fail(match reason {
@@ -248,13 +248,13 @@
     })
 }
 
-fn log_retry(planned: &IncomingRequest, target: &RegisteredTarget, reason: &str) {
-    let id = String::from_utf8_lossy(planned.outgoing.request_id.as_bytes()).into_owned();
+fn log_retry(incoming: &IncomingRequest, target: &RegisteredTarget, reason: &str) {
+    let id = String::from_utf8_lossy(incoming.outgoing.request_id.as_bytes()).into_owned();
     let pairs: [(&str, &dyn std::fmt::Display); 4] = [
         ("request", &id),
         ("target", &target.id),
         ("reason", &reason),
-        ("after_ms", &planned.arrived_at.elapsed().as_millis()),
+        ("after_ms", &incoming.arrived_at.elapsed().as_millis()),
     ];
     log_event(EventName::RequestRetried, &pairs);
 }
--- a/crates/nickellead_gateway/src/worker/responses.rs
+++ b/crates/nickellead_gateway/src/worker/responses.rs
@@ -59,14 +59,14 @@
         &self,
         kind: ErrorKind,
         id: &str,
-        planned: Option<&IncomingRequest>,
+        incoming: Option<&IncomingRequest>,
     ) -> Response<BoxBody> {
-        self.metrics.count_error(kind, planned.map(IncomingRequest::main_service));
-        self.log_failure(id, planned, kind);
+        self.metrics.count_error(kind, incoming.map(IncomingRequest::main_service));
+        self.log_failure(id, incoming, kind);
         let mut response = error_response(kind);
         let jitter =
             1.0 - RETRY_JITTER_FRACTION / 2.0 + self.rng.borrow_mut().f64() * RETRY_JITTER_FRACTION;
-        if let Some(wait) = self.retry_after(kind, planned) {
+        if let Some(wait) = self.retry_after(kind, incoming) {
             let wait = wait.mul_f64(jitter);
             let seconds = format!("{:.3}", wait.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -80,47 +80,47 @@
     ///
     /// The caller retries while a response can still meet the latency target, and otherwise at a
     /// point where capacity is more likely to be free.
-    fn retry_after(&self, kind: ErrorKind, planned: Option<&IncomingRequest>) -> Option<Duration> {
+    fn retry_after(&self, kind: ErrorKind, incoming: Option<&IncomingRequest>) -> Option<Duration> {
         let default_delay = Duration::from_millis(u64::from(kind.response().retry_after_ms?));
-        let Some(planned) = planned.filter(|_| self.policy.come_back_time.is_on()) else {
+        let Some(incoming) = incoming.filter(|_| self.policy.come_back_time.is_on()) else {
             return Some(default_delay);
         };
         if kind == ErrorKind::TargetPaused {
             // An earlier retry would be refused again. Only the caller knows whether a later one is
             // useful.
             return Some(
-                self.remaining_pause(planned)
+                self.remaining_pause(incoming)
                     .max(default_delay)
                     .div_f64(1.0 - RETRY_JITTER_FRACTION / 2.0),
             );
         }
         let response_time =
-            planned.route.rule.latency_target.mul_f64(RESPONSE_FRACTION_OF_LATENCY_TARGET);
+            incoming.route.rule.latency_target.mul_f64(RESPONSE_FRACTION_OF_LATENCY_TARGET);
         let spare =
-            planned.latency_deadline().saturating_duration_since(Instant::now() + response_time);
+            incoming.latency_deadline().saturating_duration_since(Instant::now() + response_time);
         Some(match spare.is_zero() {
-            true => planned.remaining().mul_f64(LATE_RETRY_FRACTION_OF_REMAINING),
+            true => incoming.remaining().mul_f64(LATE_RETRY_FRACTION_OF_REMAINING),
             false => default_delay.min(spare.mul_f64(RETRY_FRACTION_OF_SPARE_TIME)),
         })
     }
 
     /// Logs why a request failed, with the cached state behind the decision and its age.
-    fn log_failure(&self, id: &str, planned: Option<&IncomingRequest>, kind: ErrorKind) {
+    fn log_failure(&self, id: &str, incoming: Option<&IncomingRequest>, kind: ErrorKind) {
         let state = self.state.borrow();
         let code = kind.response().code;
         let version = state.version.unwrap_or_default();
-        let Some(planned) = planned else {
+        let Some(incoming) = incoming else {
             let pairs: [(&str, &dyn std::fmt::Display); 3] =
                 [("request", &id), ("error", &code), ("version", &version)];
             return log_event(EventName::RequestFailed, &pairs);
         };
-        let after = planned.arrived_at.elapsed().as_millis();
-        let age = planned.caller_age.as_millis();
+        let after = incoming.arrived_at.elapsed().as_millis();
+        let age = incoming.caller_age.as_millis();
         let ages = [state.updated.declarations, state.updated.targets, state.updated.ranges]
             .map(|updated| updated.elapsed().as_millis());
         let mut pairs: Vec<(&str, &dyn std::fmt::Display)> = vec![
             ("request", &id),
-            ("route", &planned.route.rule.name),
+            ("route", &incoming.route.rule.name),
             ("error", &code),
             ("after_ms", &after),
             ("caller_age_ms", &age),
@@ -128,7 +128,7 @@
             ("config_age_ms", &ages[0]),
             ("targets_age_ms", &ages[1]),
         ];
-        if let Some((service, key)) = owned_key(&state, planned) {
+        if let Some((service, key)) = owned_key(&state, incoming) {
             pairs.extend([("key", key as &dyn std::fmt::Display), ("ranges_age_ms", &ages[2])]);
             if let Some(range) = state.ranges.find(service, *key) {
                 pairs.push(("fence", &range.fence));
@@ -138,12 +138,12 @@
         log_event(EventName::RequestFailed, &pairs);
     }
 
-    /// Logs one in [`REQUEST_ANSWERED_SAMPLE_INTERVAL`] answered requests. The request id selects it, so that all
-    /// VMs log the same requests.
+    /// Logs one in [`REQUEST_ANSWERED_SAMPLE_INTERVAL`] answered requests. The request id selects
+    /// it, so that all VMs log the same requests.
     pub(super) fn log_sample(
         &self,
         id: &str,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         response: &TargetResponse,
     ) {
         if !xxhash_rust::xxh3::xxh3_64(id.as_bytes())
@@ -153,9 +153,9 @@
         }
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
             ("request", &id),
-            ("route", &planned.route.rule.name),
+            ("route", &incoming.route.rule.name),
             ("status", &response.status.as_u16()),
-            ("after_ms", &planned.arrived_at.elapsed().as_millis()),
+            ("after_ms", &incoming.arrived_at.elapsed().as_millis()),
             ("version", &self.state.borrow().version.unwrap_or_default()),
         ];
         log_event(EventName::RequestAnswered, &pairs);
@@ -163,10 +163,10 @@
 }
 
 /// The service and key that determine the owner, or `None` if the route has no sharded service.
-fn owned_key<'a>(state: &WorkerState, planned: &'a IncomingRequest) -> Option<(&'a str, &'a u16)> {
+fn owned_key<'a>(state: &WorkerState, incoming: &'a IncomingRequest) -> Option<(&'a str, &'a u16)> {
     let sharded = |weighted: &&WeightedService| state.is_sharded(&weighted.service);
-    let weighted = planned.route.rule.split.iter().find(sharded)?;
-    Some((&weighted.service, planned.key.as_ref()?))
+    let weighted = incoming.route.rule.split.iter().find(sharded)?;
+    Some((&weighted.service, incoming.key.as_ref()?))
 }
 
 /// Converts a target's response for the caller, without connection headers.
--- a/crates/nickellead_gateway/src/worker/selection.rs
+++ b/crates/nickellead_gateway/src/worker/selection.rs
@@ -14,7 +14,7 @@
 use crate::target_registry::RegisteredTarget;
 use crate::waiting::wait_for;
 
-/// Longest time that a range has no owner during a planned move. A range that has none for longer
+/// Longest time that a range has no owner during a incoming move. A range that has none for longer
 /// waits for the lease of a lost target to expire, which takes seconds, so requests for it are
 /// refused at once.
 const MAX_PLANNED_MOVE_DURATION: Duration = Duration::from_millis(1_000);
@@ -32,12 +32,12 @@
     /// The reason for refusing the request when none is found in time.
     pub(super) async fn wait_for_target(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         loop {
-            let target = match self.find_target(planned, service, attempts).await? {
+            let target = match self.find_target(incoming, service, attempts).await? {
                 TargetCapacity::Available(target) => return Ok(target),
                 TargetCapacity::Full(target) => target,
             };
@@ -49,8 +49,8 @@
                 // The queue of the service is served by all targets of the subset.
                 false => queue.waiting() / self.subset_size(service),
             };
-            let left = self.queue_timeout(planned, &target, ahead).ok_or(ErrorKind::Overloaded)?;
-            let mut ticket = queue.join(planned.route.rule.priority);
+            let left = self.queue_timeout(incoming, &target, ahead).ok_or(ErrorKind::Overloaded)?;
+            let mut ticket = queue.join(incoming.route.rule.priority);
             let waited = tokio::time::timeout(left, ticket.wait()).await;
             if waited.is_err() {
                 queue.leave(&ticket);
@@ -62,15 +62,15 @@
     /// Selects a target that accepts the request now, or one to wait for.
     async fn find_target(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         attempts: &AttemptState,
     ) -> Result<TargetCapacity, ErrorKind> {
-        let mut chosen = self.choose_target(planned, service, attempts).await;
+        let mut chosen = self.choose_target(incoming, service, attempts).await;
         while chosen.is_err() && self.state.borrow().registry.is_empty() {
             // A VM that has just started has not received the list of targets yet.
-            self.wait_for_targets(planned.latency_deadline()).await?;
-            chosen = self.choose_target(planned, service, attempts).await;
+            self.wait_for_targets(incoming.latency_deadline()).await?;
+            chosen = self.choose_target(incoming, service, attempts).await;
         }
         let target = chosen?;
         let now = BootClock.now();
@@ -98,13 +98,13 @@
     /// its response would miss the latency target.
     fn queue_timeout(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         target: &RegisteredTarget,
         ahead: usize,
     ) -> Option<Duration> {
         let limit = target.concurrency_limit.get();
-        let response_time = limit.mean_latency(planned.route.rule.latency_target);
-        let remaining = planned.latency_deadline().saturating_duration_since(Instant::now());
+        let response_time = limit.mean_latency(incoming.route.rule.latency_target);
+        let remaining = incoming.latency_deadline().saturating_duration_since(Instant::now());
         let left = remaining.saturating_sub(response_time);
         let in_time = left >= limit.expected_wait(ahead, response_time);
         let may_wait = in_time || !self.policy.turn_prediction.is_on();
@@ -137,13 +137,13 @@
     /// selects. It may have no capacity.
     async fn choose_target(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         attempts: &AttemptState,
     ) -> Result<Rc<RegisteredTarget>, ErrorKind> {
         if self.state.borrow().is_sharded(service) {
-            let key = planned.key.ok_or(ErrorKind::KeyMissing)?;
-            return self.wait_for_owner(planned, service, key, attempts).await;
+            let key = incoming.key.ok_or(ErrorKind::KeyMissing)?;
+            return self.wait_for_owner(incoming, service, key, attempts).await;
         }
         self.select_balanced(service, &attempts.tried)
     }
@@ -155,10 +155,10 @@
     }
 
     /// Time until the pause of the first target that can serve the request ends.
-    pub(super) fn remaining_pause(&self, planned: &IncomingRequest) -> Duration {
+    pub(super) fn remaining_pause(&self, incoming: &IncomingRequest) -> Duration {
         let now = BootClock.now();
         let state = self.state.borrow();
-        let service_pause = |weighted: &WeightedService| match planned
+        let service_pause = |weighted: &WeightedService| match incoming
             .key
             .filter(|_| state.is_sharded(&weighted.service))
         {
@@ -169,11 +169,11 @@
                 owner.map(|owner| owner.signals.get().pause_remaining(now))
             }
             None => {
-                let members = state.registry.available(&weighted.service).iter();
-                members.map(|target| target.signals.get().pause_remaining(now)).min()
+                let targets = state.registry.available(&weighted.service).iter();
+                targets.map(|target| target.signals.get().pause_remaining(now)).min()
             }
         };
-        planned.route.rule.split.iter().filter_map(service_pause).min().unwrap_or_default()
+        incoming.route.rule.split.iter().filter_map(service_pause).min().unwrap_or_default()
     }
 
     /// Selects a target by its score, preferably within this VM's subset and among the targets that
@@ -234,7 +234,7 @@
     /// the latency target.
     async fn wait_for_owner(
         &self,
-        planned: &IncomingRequest,
+        incoming: &IncomingRequest,
         service: &str,
         key: u16,
         attempts: &AttemptState,
@@ -244,8 +244,8 @@
         }
         // No other target can serve the key.
         let until = match self.policy.move_wait.is_on() {
-            true => planned.latency_deadline().min(planned.deadline),
-            false => planned.arrived_at,
+            true => incoming.latency_deadline().min(incoming.deadline),
+            false => incoming.arrived_at,
         };
         let waiting = wait_for(&self.changed, || self.usable_owner(service, key, attempts));
         let waited = tokio::time::timeout_at(until.into(), waiting).await;
@@ -293,8 +293,8 @@
 }
 
 /// Why none of a service's targets accepts a request.
-fn no_target_reason(members: &[Rc<RegisteredTarget>], now: Timestamp) -> ErrorKind {
-    let staying = || members.iter().filter(|target| !target.is_leaving());
+fn no_target_reason(targets: &[Rc<RegisteredTarget>], now: Timestamp) -> ErrorKind {
+    let staying = || targets.iter().filter(|target| !target.is_leaving());
     if staying().next().is_none() {
         ErrorKind::NoTarget
     } else if staying().any(|target| target.signals.get().is_paused(now)) {
