--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -1,4 +1,4 @@
-//! Taking, renewing, losing and handing over the mandate.
+//! Acquires, renews, loses and releases the mandate (leader lease).
 
 use std::time::Duration;
 
@@ -11,32 +11,33 @@
 use crate::shard::{PlacementState, ServicePlacement};
 use nickellead_core::enforced;
 
-/// How long a call may take before it counts as failed; the client's own limit is shorter.
+/// Time after which a call without an outcome counts as failed; the client's own timeout is
+/// shorter.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two reads of the mandate by a VM that may have to take it soon.
+/// Interval between mandate reads of a VM that may have to acquire the mandate soon.
 const STANDBY_READ_INTERVAL: Duration = Duration::from_millis(200);
-/// Between two reads by a VM that is no standby: it takes the mandate only once
-/// the platform's list shows others gone, and the platform has many such VMs.
+/// Interval between mandate reads of a VM that is no standby. There may be many such VMs, and
+/// each acquires the mandate only after the platform has removed others from its list.
 const IDLE_READ_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// What this VM knows of the mandate object.
+/// Cached state of the mandate object, with the pending read or write of it.
 #[derive(Clone, Debug)]
 pub(super) struct MandateWatch {
     version: Version,
     pub(super) object: Option<MandateObject>,
-    /// Since when this VM sees this version.
+    /// When this VM first saw the cached version.
     pub(super) version_since: Timestamp,
     call: Option<CallId>,
-    /// When the call under way counts as failed, should no answer ever come.
+    /// When the pending call counts as failed if it has no outcome.
     call_deadline: Timestamp,
-    /// A write whose fate is not known yet.
+    /// Object of a write that is not confirmed yet.
     unconfirmed: Option<MandateObject>,
-    /// The version that the unconfirmed write builds on.
+    /// Version that the unconfirmed write replaces.
     base_version: Version,
     /// Whether a read showed that the unconfirmed write has not taken effect.
     must_resend: bool,
     next_due: Timestamp,
-    /// When the write that last succeeded was sent.
+    /// When the latest successful write was sent.
     last_renewed_at: Timestamp,
     sent_at: Timestamp,
 }
@@ -58,15 +59,15 @@
         }
     }
 
-    /// Forgets what is under way, so that late answers change nothing.
-    pub(super) fn forget_calls(&mut self) {
+    /// Discards the pending call and write, so that late outcomes have no effect.
+    pub(super) fn discard_calls(&mut self) {
         self.call = None;
         self.unconfirmed = None;
     }
 
-    /// Brings the next read forward.
-    pub(super) fn schedule_read_by(&mut self, now: Timestamp) {
-        self.next_due = self.next_due.min(now);
+    /// Makes the next read due no later than `due`.
+    pub(super) fn schedule_read_by(&mut self, due: Timestamp) {
+        self.next_due = self.next_due.min(due);
     }
 
     fn begin_call(&mut self, call: CallId, now: Timestamp) {
@@ -83,22 +84,23 @@
     }
 }
 
-/// Whether an answer shows an older state than one seen before.
+/// Returns whether a read returned an older version than the cached one.
 fn is_older(version: Version, known: Version) -> bool {
     enforced!("version_monotonic") && version < known
 }
 
 impl ZoneCoordinator {
-    /// Standbys that must keep a record: of the mandate as it stands and as it may stand.
-    pub(super) fn standbys(&self) -> Vec<VmIncarnation> {
-        let known = self.watch.object.iter().chain(&self.watch.unconfirmed);
-        let mut standbys: Vec<_> = known.flat_map(|object| object.standbys.clone()).collect();
+    /// Returns the standbys that must store records: those of the cached mandate and of an
+    /// unconfirmed write.
+    pub(super) fn record_standbys(&self) -> Vec<VmIncarnation> {
+        let candidates = self.watch.object.iter().chain(&self.watch.unconfirmed);
+        let mut standbys: Vec<_> = candidates.flat_map(|object| object.standbys.clone()).collect();
         standbys.sort();
         standbys.dedup();
         standbys
     }
 
-    /// The zone's mandate, as this VM last saw it.
+    /// Returns the zone's mandate as this VM last read or wrote it.
     #[must_use]
     pub const fn mandate(&self) -> Option<&MandateObject> {
         self.watch.object.as_ref()
@@ -123,15 +125,15 @@
     pub(super) fn handle_mandate_read(
         &mut self,
         call: CallId,
-        answer: ReadOutcome<MandateObject>,
+        outcome: ReadOutcome<MandateObject>,
         now: Timestamp,
     ) {
         if self.watch.call.take_if(|known| *known == call).is_none() {
             return;
         }
-        match answer {
+        match outcome {
             ReadOutcome::Failed => {}
-            // A stale read: an object once seen is never deleted.
+            // A stale read: the mandate is never deleted.
             ReadOutcome::Absent if self.watch.version > Version::ZERO => {}
             ReadOutcome::Absent => self.after_mandate_read(now),
             ReadOutcome::Found(_, version) if is_older(version, self.watch.version) => {}
@@ -150,20 +152,20 @@
     pub(super) fn handle_mandate_written(
         &mut self,
         call: CallId,
-        answer: WriteOutcome,
+        outcome: WriteOutcome,
         now: Timestamp,
     ) {
         if self.watch.call.take_if(|known| *known == call).is_none() {
             return;
         }
-        match answer {
+        match outcome {
             WriteOutcome::Done(version) => self.confirm_mandate_write(version, now),
-            // The read that follows tells whose write it was.
+            // The following read shows whether the write took effect.
             WriteOutcome::Conflict | WriteOutcome::Failed => self.watch.next_due = now,
         }
     }
 
-    /// A follower that hears no coordinator reads the mandate, and takes it when it may.
+    /// Reads the mandate if the coordinator is lost, to acquire it when allowed.
     fn poll_mandate(&mut self, now: Timestamp) {
         if !self.has_lost_coordinator(now) || self.watch.call.is_some() || now < self.watch.next_due
         {
@@ -187,7 +189,7 @@
             if self.may_acquire_soon() {
                 self.watch.schedule_read_by(now + STANDBY_READ_INTERVAL);
             }
-            if let Some(predecessor) = self.acquisition_basis(now) {
+            if let Some(predecessor) = self.predecessor_to_succeed(now) {
                 self.acquire_mandate(predecessor, now);
             }
             return;
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Compares what was read with the write whose fate is not known.
+    /// Resolves an unconfirmed write by the mandate that was read.
     fn resolve_unconfirmed_write(&mut self, unconfirmed: &MandateObject, now: Timestamp) {
         let found = self.watch.object.as_ref();
         if found == Some(unconfirmed) {
@@ -210,7 +212,7 @@
             self.watch.next_due = now;
             return;
         }
-        // Another VM wrote since, so that this write can never take effect.
+        // Another VM has written since, so this conditional write can no longer take effect.
         let term = found.map_or(self.highest_term, |object| object.term);
         self.highest_term = self.highest_term.max(term);
         self.step_down(term);
@@ -251,7 +253,7 @@
         self.actions.push(ZoneAction::WriteMandate(call, self.watch.version, object));
     }
 
-    /// Finds out what became of a write: read back, then write the same again.
+    /// Reads the mandate to resolve an unconfirmed write, and resends the write if needed.
     fn resolve_write(&mut self, now: Timestamp) {
         if self.watch.call.is_some() || now < self.watch.next_due {
             return;
@@ -291,11 +293,12 @@
     }
 
     fn renew_mandate(&mut self, now: Timestamp) {
-        let silent = now.since(self.watch.last_renewed_at) >= self.settings.timings.detach_timeout;
-        if silent && self.advance_mandate(MandateEvent::PlatformTimedOut) {
+        let unrenewed = now.since(self.watch.last_renewed_at);
+        let timed_out = unrenewed >= self.settings.timings.detach_timeout;
+        if timed_out && self.advance_mandate(MandateEvent::PlatformTimedOut) {
             self.notify(ZoneNotice::Detached(self.term));
         }
-        if self.stop_requested && self.phase != MandatePhase::Detached && self.is_clean() {
+        if self.stop_requested && self.phase != MandatePhase::Detached && self.is_persisted() {
             self.advance_mandate(MandateEvent::StopRequested);
             return;
         }
@@ -305,13 +308,13 @@
         let Some(mut object) = self.next_mandate(now) else {
             return;
         };
-        if self.is_clean() {
+        if self.is_persisted() {
             object.standbys = self.choose_standbys(now);
         }
         self.write_mandate(object, now);
     }
 
-    /// Writes as the last act that this VM coordinates no more; no order follows it.
+    /// Writes the mandate as released. This VM sends no orders from here on.
     fn release_mandate(&mut self, now: Timestamp) {
         let Some(mut object) = self.next_mandate(now) else {
             return;
@@ -320,7 +323,7 @@
         self.write_mandate(object, now);
     }
 
-    /// The mandate to write next; `None` while an earlier write is under way or unconfirmed.
+    /// Returns the mandate to write next; `None` while a call is pending or a write unconfirmed.
     fn next_mandate(&mut self, now: Timestamp) -> Option<MandateObject> {
         if self.watch.call.is_some() {
             return None;
@@ -334,14 +337,14 @@
         Some(object)
     }
 
-    /// Whether the platform's placements say all that this coordinator decided.
-    fn is_clean(&self) -> bool {
-        let clean = |placement: &ServicePlacement| {
+    /// Returns whether the stored placements contain all decisions of this coordinator.
+    fn is_persisted(&self) -> bool {
+        let persisted = |placement: &ServicePlacement| {
             placement.state == PlacementState::Claimed
                 && !placement.dirty
                 && placement.pending.is_none()
         };
-        self.publishes() && self.placements.values().all(clean)
+        self.publishes() && self.placements.values().all(persisted)
     }
 
     pub(super) fn advance_mandate(&mut self, event: MandateEvent) -> bool {
--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -346,7 +346,7 @@
         self.placements.clear();
         self.calls.clear();
         self.record_round = None;
-        self.watch.forget_calls();
+        self.watch.discard_calls();
     }
 
     fn next_call(&mut self) -> CallId {
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -1,9 +1,8 @@
-//! Keeping new owners at the standbys while the platform is out of reach.
+//! Replicates new owners to the standbys while the platform is unavailable.
 //!
-//! A detached coordinator makes new grants only once *every* standby of the
-//! mandate keeps them. A standby that began to take the mandate refuses; one
-//! that keeps a record uses it when it takes the mandate later. So whoever
-//! comes next knows every grant that was made.
+//! A detached coordinator sends a new grant only after *every* standby of the mandate has
+//! stored it. A standby that has begun to acquire the mandate refuses to store records. Each
+//! successor therefore knows every grant of its predecessor.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,20 +14,20 @@
 use crate::mandate::VmIncarnation;
 use nickellead_core::enforced;
 
-/// Between two tries to reach a standby that did not answer.
+/// Interval between attempts to send a batch to a standby that has not responded.
 const RECORD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One batch under way to the standbys.
+/// One batch that is being replicated to the standbys.
 #[derive(Clone, Debug)]
 pub(super) struct RecordRound {
     batch: RecordBatch,
     services: Vec<ServiceKey>,
-    missing: BTreeSet<VmIncarnation>,
+    unacknowledged: BTreeSet<VmIncarnation>,
     next_send: Timestamp,
 }
 
 impl ZoneCoordinator {
-    /// Asks the standbys to keep the pending new owners, while detached.
+    /// Sends the pending new owners to the standbys while detached.
     pub(super) fn replicate_records(&mut self, now: Timestamp) {
         if self.phase != MandatePhase::Detached {
             self.record_round = None;
@@ -38,16 +37,18 @@
             self.begin_round(now);
         }
         let gone: Vec<VmIncarnation> = match &self.record_round {
-            Some(round) => round.missing.iter().filter(|vm| self.is_gone(vm)).cloned().collect(),
+            Some(round) => {
+                round.unacknowledged.iter().filter(|vm| self.is_gone(vm)).cloned().collect()
+            }
             None => return,
         };
         let Some(round) = &mut self.record_round else { return };
-        round.missing.retain(|vm| !gone.contains(vm));
+        round.unacknowledged.retain(|vm| !gone.contains(vm));
         if now >= round.next_send {
             round.next_send = now + RECORD_RETRY_INTERVAL;
-            for vm in &round.missing {
-                let ask = ZoneAction::SendRecordBatch(vm.clone(), round.batch.clone());
-                self.actions.push(ask);
+            for vm in &round.unacknowledged {
+                let send = ZoneAction::SendRecordBatch(vm.clone(), round.batch.clone());
+                self.actions.push(send);
             }
         }
         self.finish_round();
@@ -77,13 +78,14 @@
         }
         self.last_batch += 1;
         let batch = RecordBatch { term: self.term, number: self.last_batch, entries };
-        let missing = self.standbys().into_iter().collect();
-        self.record_round = Some(RecordRound { batch, services, missing, next_send: now });
+        let unacknowledged = self.record_standbys().into_iter().collect();
+        self.record_round = Some(RecordRound { batch, services, unacknowledged, next_send: now });
     }
 
     fn finish_round(&mut self) {
-        let complete =
-            |round: &RecordRound| round.missing.is_empty() || !enforced!("record_before_grant");
+        let complete = |round: &RecordRound| {
+            round.unacknowledged.is_empty() || !enforced!("record_before_grant")
+        };
         if !self.record_round.as_ref().is_some_and(complete) {
             return;
         }
@@ -95,20 +97,23 @@
         }
     }
 
-    pub(super) fn handle_record_response(&mut self, answer: &RecordResponse, now: Timestamp) {
-        if self.coordinates() && answer.term > self.term {
-            self.observe_term(answer.term);
+    pub(super) fn handle_record_response(&mut self, response: &RecordResponse, now: Timestamp) {
+        if self.coordinates() && response.term > self.term {
+            self.observe_term(response.term);
         }
         let Some(round) = &mut self.record_round else { return };
-        if answer.number != round.batch.number || answer.term > round.batch.term || !answer.stored {
+        if response.number != round.batch.number
+            || response.term > round.batch.term
+            || !response.stored
+        {
             return;
         }
-        let vm = VmIncarnation { vm: answer.vm.clone(), incarnation: answer.incarnation };
-        round.missing.remove(&vm);
+        let vm = VmIncarnation { vm: response.vm.clone(), incarnation: response.incarnation };
+        round.unacknowledged.remove(&vm);
         let _ = now;
     }
 
-    /// Keeps new owners for a detached coordinator, unless this VM began to take over.
+    /// Stores a detached coordinator's records, unless this VM has begun to take over.
     pub(super) fn store_records(&mut self, batch: &RecordBatch, now: Timestamp) {
         let follows = self.phase == MandatePhase::Follower && batch.term >= self.highest_term;
         let stored = follows || !enforced!("record_promise");
@@ -123,13 +128,13 @@
                 }
             }
         }
-        let answer = RecordResponse {
+        let response = RecordResponse {
             vm: self.settings.vm.vm.clone(),
             incarnation: self.settings.vm.incarnation,
             term: self.highest_term.max(batch.term),
             number: batch.number,
             stored,
         };
-        self.actions.push(ZoneAction::SendRecordResponse(answer));
+        self.actions.push(ZoneAction::SendRecordResponse(response));
     }
 }
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -1,4 +1,4 @@
-//! Who may follow whom: when this VM may take the mandate, and whom it names as standbys.
+//! Decides when this VM may acquire the mandate, and which VMs become its standbys.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use super::{Predecessor, ZoneCoordinator};
 use crate::mandate::VmIncarnation;
 
-/// How long a VM stays eligible as a standby after it was last heard.
+/// How long after its last message a VM counts as reachable.
 const PEER_TTL: Duration = Duration::from_millis(1_500);
 
 impl ZoneCoordinator {
-    /// Whether this VM may take the mandate, and what it then knows of the one before.
-    pub(super) fn acquisition_basis(&self, now: Timestamp) -> Option<Predecessor> {
+    /// Returns what is known of the predecessor if this VM may acquire the mandate, else `None`.
+    pub(super) fn predecessor_to_succeed(&self, now: Timestamp) -> Option<Predecessor> {
         if self.config.is_none() || !self.is_listed(&self.settings.vm.vm) {
             return None;
         }
         let former = self.watch.object.as_ref().filter(|object| !object.stopped);
         let Some(object) = former else {
-            // There was none, or it gave the mandate up as its last act.
+            // There was no holder, or it released the mandate and sends no more orders.
             return Some(Predecessor {
                 stopped_at: Some(now),
                 records_known: true,
@@ -26,9 +26,9 @@
             });
         };
         let timings = &self.settings.timings;
-        let still = now.since(self.watch.version_since) >= timings.mandate_timeout;
-        let silent = now.since(self.last_announcement_at) >= timings.mandate_timeout;
-        if !still || !silent {
+        let unrenewed = now.since(self.watch.version_since) >= timings.mandate_timeout;
+        let unannounced = now.since(self.last_announcement_at) >= timings.mandate_timeout;
+        if !unrenewed || !unannounced {
             return None;
         }
         let gone = self.is_gone(&object.holder);
@@ -42,29 +42,29 @@
         })
     }
 
-    /// Whether this VM is a standby, or anyone may take the mandate.
+    /// Returns whether this VM is a standby, or any VM may acquire the mandate.
     pub(super) fn may_acquire_soon(&self) -> bool {
         let Some(object) = &self.watch.object else { return true };
         let standby = object.standbys.contains(&self.settings.vm);
         standby || object.stopped || object.standbys.is_empty()
     }
 
-    /// Keeps the standbys that are heard, fills up with others that are, and
-    /// only then with those not heard: a silent standby may still take over.
+    /// Chooses the standbys to name in the mandate: reachable standbys first, then other
+    /// reachable VMs, then unreachable standbys, which may still take over.
     pub(super) fn choose_standbys(&self, now: Timestamp) -> Vec<VmIncarnation> {
-        let fresh = |vm: &VmIncarnation| {
-            let heard = self.peers.get(&vm.vm);
-            heard.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_TTL)
+        let is_reachable = |vm: &VmIncarnation| {
+            let peer = self.peers.get(&vm.vm);
+            peer.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_TTL)
         };
         let eligible = |vm: &&VmIncarnation| {
             **vm != self.settings.vm && self.is_listed(&vm.vm) && !self.is_gone(vm)
         };
         let current = self.watch.object.iter().flat_map(|object| &object.standbys);
         let current: Vec<&VmIncarnation> = current.filter(eligible).collect();
-        let heard = self.peers.values().map(|(vm, _)| vm);
-        let heard = heard.filter(eligible).filter(|vm| fresh(vm));
-        let first = current.iter().copied().filter(|vm| fresh(vm)).chain(heard);
-        let last = current.iter().copied().filter(|vm| !fresh(vm));
+        let reachable = self.peers.values().map(|(vm, _)| vm);
+        let reachable = reachable.filter(eligible).filter(|vm| is_reachable(vm));
+        let first = current.iter().copied().filter(|vm| is_reachable(vm)).chain(reachable);
+        let last = current.iter().copied().filter(|vm| !is_reachable(vm));
         let mut chosen: Vec<VmIncarnation> = Vec::new();
         for vm in first.chain(last) {
             if chosen.len() < self.settings.max_standbys && !chosen.contains(vm) {
@@ -75,19 +75,18 @@
     }
 
     pub(super) fn is_listed(&self, vm: &Name) -> bool {
-        self.listed_vms.as_ref().is_some_and(|listed_vms| listed_vms.contains(vm))
+        self.listed_vms.as_ref().is_some_and(|listed| listed.contains(vm))
     }
 
-    /// Whether a process surely runs no more.
+    /// Returns whether a process has certainly ended.
     ///
-    /// Coordinators and standbys were listed_vms before the mandate named them, so
-    /// that absence from the lagging list means gone, not "not there yet". A VM
-    /// heard under another incarnation has started anew.
+    /// The platform listed coordinators and standbys before the mandate named them. Absence
+    /// from the list, which may lag, therefore proves that the process has ended, and so does a
+    /// message of the VM with another incarnation.
     pub(super) fn is_gone(&self, vm: &VmIncarnation) -> bool {
-        let unlisted =
-            self.listed_vms.as_ref().is_some_and(|listed_vms| !listed_vms.contains(&vm.vm));
-        let heard = self.peers.get(&vm.vm);
-        let restarted = heard.is_some_and(|(known, _)| known.incarnation != vm.incarnation);
+        let unlisted = self.listed_vms.as_ref().is_some_and(|listed| !listed.contains(&vm.vm));
+        let peer = self.peers.get(&vm.vm);
+        let restarted = peer.is_some_and(|(known, _)| known.incarnation != vm.incarnation);
         let own = vm.vm == self.settings.vm.vm && vm.incarnation != self.settings.vm.incarnation;
         unlisted || restarted || own
     }
