--- a/crates/nickellead_lease/src/coordinator/moves.rs
+++ b/crates/nickellead_lease/src/coordinator/moves.rs
@@ -1,4 +1,4 @@
-//! Planning owners and moves, and putting them in force once they are kept.
+//! Plans shard owners and moves, and activates new owners once they are persisted.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::session::TargetSession;
 use crate::shard::{PendingWrite, PlacementState};
 
-/// Between two looks at the balance of load.
+/// Interval between checks of the load balance.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long shards wait for targets that were not heard yet: first ones, and those of targets that
-/// were all lost at once. A live target answers within one heartbeat, 0.4 s.
+/// How long unassigned shards wait for targets that have not replied in this term or that expired
+/// simultaneously. Exceeds the default heartbeat interval, within which a live target replies.
 pub(super) const TARGET_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ZoneCoordinator {
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Chooses an owner for each free shard that has none in view.
+    /// Chooses an owner for each free shard without a planned one.
     fn plan_owners(&mut self, service: ServiceKey, now: Timestamp) {
-        let gathers = self.awaits_first_contact(service, now);
-        let returns = self.awaits_expired_targets(service, now);
+        let awaits_contact = self.awaits_first_contact(service, now);
+        let awaits_return = self.awaits_expired_targets(service, now);
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
@@ -49,7 +49,7 @@
         if placement.state != PlacementState::Claimed || idle {
             return;
         }
-        placement.needs_assignment = gathers || returns;
+        placement.needs_assignment = awaits_contact || awaits_return;
         let planned = placement.planned_counts();
         let mut loads = self.loads(service, TargetSession::accepts_shards);
         for load in &mut loads {
@@ -59,20 +59,20 @@
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        let takes =
+        let accepts =
             |target: TargetKey| sessions.get(&target).is_some_and(TargetSession::accepts_shards);
-        let wanting = placement.shards_where(|record| {
-            let first = record.epoch == Epoch::ZERO;
+        let unassigned = placement.shards_where(|record| {
+            let never_owned = record.epoch == Epoch::ZERO;
             record.phase == ShardPhase::Free
-                && !(first && gathers || returns)
-                && record.next.is_none_or(|next| !takes(next))
+                && !(never_owned && awaits_contact || awaits_return)
+                && record.next.is_none_or(|next| !accepts(next))
         });
-        if wanting.is_empty() {
+        if unassigned.is_empty() {
             return;
         }
-        let owners = assign(&mut loads, wanting.len());
+        let owners = assign(&mut loads, unassigned.len());
         let none = std::iter::repeat(None);
-        for (shard, owner) in wanting.into_iter().zip(owners.into_iter().map(Some).chain(none)) {
+        for (shard, owner) in unassigned.into_iter().zip(owners.into_iter().map(Some).chain(none)) {
             let Some(record) = placement.get_mut(shard) else {
                 continue;
             };
@@ -86,32 +86,33 @@
         }
     }
 
-    /// Whether shards that never had an owner wait for targets that were not heard yet.
+    /// Returns whether shards without an earlier owner wait for targets that have not replied.
     ///
-    /// Else the first target to answer would get them all, and give most away again.
+    /// Without the wait, the first target to reply would get all shards, and rebalancing would
+    /// move most of them again.
     fn awaits_first_contact(&self, service: ServiceKey, now: Timestamp) -> bool {
         let early =
             self.placements.get(&service).is_some_and(|known| now < known.discovery_deadline);
         let expected = |session: &TargetSession| {
-            let unheard = matches!(session.phase, SessionPhase::New | SessionPhase::Fenced);
-            session.service == service && session.declared == TargetState::Active && unheard
+            let not_live = matches!(session.phase, SessionPhase::New | SessionPhase::Fenced);
+            session.service == service && session.declared == TargetState::Active && not_live
         };
         early && self.sessions.values().any(expected)
     }
 
-    /// Whether shards wait for targets that were all lost at once.
+    /// Returns whether shards wait for targets that expired simultaneously.
     fn awaits_expired_targets(&self, service: ServiceKey, now: Timestamp) -> bool {
         let early = self.placements.get(&service).is_some_and(|known| now < known.return_deadline);
-        let away = |session: &TargetSession| {
-            let unheard = matches!(session.phase, SessionPhase::Lost | SessionPhase::Fenced);
-            session.service == service && session.declared == TargetState::Active && unheard
+        let may_return = |session: &TargetSession| {
+            let not_live = matches!(session.phase, SessionPhase::Lost | SessionPhase::Fenced);
+            session.service == service && session.declared == TargetState::Active && not_live
         };
-        early && self.sessions.values().any(away)
+        early && self.sessions.values().any(may_return)
     }
 
-    /// Begins planned moves, when those before are over.
+    /// Starts planned moves if none are in progress.
     fn plan_service_moves(&mut self, service: ServiceKey, now: Timestamp) {
-        // A detached coordinator moves shards only where targets leave.
+        // A detached coordinator moves shards only away from draining targets.
         let rebalances = self.phase == MandatePhase::Leading;
         let leaving = self.loads(service, TargetSession::is_draining);
         if leaving.iter().all(|load| load.shards == 0) && !rebalances {
@@ -171,13 +172,14 @@
         }
     }
 
-    fn loads(&self, service: ServiceKey, wanted: fn(&TargetSession) -> bool) -> Vec<TargetLoad> {
+    fn loads(&self, service: ServiceKey, predicate: fn(&TargetSession) -> bool) -> Vec<TargetLoad> {
         let load = |session: &TargetSession| TargetLoad {
             target: session.key,
             slots: session.slots,
             shards: session.owned,
         };
-        let of_service = |session: &&TargetSession| session.service == service && wanted(session);
+        let of_service =
+            |session: &&TargetSession| session.service == service && predicate(session);
         self.sessions.values().filter(of_service).map(load).collect()
     }
 
@@ -185,7 +187,7 @@
         &mut self,
         call: CallId,
         service: ServiceKey,
-        answer: WriteOutcome,
+        outcome: WriteOutcome,
         now: Timestamp,
     ) {
         let Some(known) = self.calls.get(&service).copied().filter(|known| known.id == call) else {
@@ -195,7 +197,7 @@
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
         };
-        match answer {
+        match outcome {
             WriteOutcome::Done(version) => {
                 placement.version = version;
                 let claims = placement.state == PlacementState::Claiming;
@@ -213,7 +215,7 @@
                 }
             }
             WriteOutcome::Conflict if placement.state == PlacementState::Claiming => {
-                // The predecessor wrote once more before this term stood: start from that.
+                // The predecessor wrote again before the claim: reload the object.
                 placement.state = PlacementState::Unread;
                 placement.pending = None;
             }
@@ -222,8 +224,7 @@
         }
     }
 
-    /// Puts the owners of the pending write in force: they are kept where they
-    /// outlast this VM, in the platform or at every standby.
+    /// Activates the owners of the pending write, which the platform or every standby stores.
     pub(super) fn commit_write(&mut self, service: ServiceKey, by_records: bool) {
         let Some(placement) = self.placements.get_mut(&service) else {
             return;
@@ -264,7 +265,7 @@
                 session.owned += 1;
                 session.queue_grant(grant);
             }
-            // Lost meanwhile, and never told: free at once.
+            // The target was lost before the grant was sent, so the shard is free at once.
             None => {
                 placement.advance(shard, ShardEvent::OwnerLost);
             }
