--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -1,4 +1,4 @@
-//! Looking after the sessions with the zone's targets.
+//! Sessions with the zone's targets: replies, expiry and orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,11 +35,11 @@
 
     fn apply_session_changes(&mut self, target: TargetKey, changes: SessionChanges) {
         if let Some(held) = changes.fenced_with {
-            self.notify_target(target, ZoneNotice::TargetFenced);
+            self.notify_about_target(target, ZoneNotice::TargetFenced);
             self.reconcile_held_grants(target, &held);
         }
         if changes.synced {
-            self.notify_target(target, ZoneNotice::TargetLive);
+            self.notify_about_target(target, ZoneNotice::TargetLive);
             self.request_assignment(target);
         }
         for grant in changes.granted {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn notify_target(
+    fn notify_about_target(
         &mut self,
         target: TargetKey,
         notice: fn(nickellead_core::Name) -> ZoneNotice,
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Compares what a fenced target holds with what the placement gives it.
+    /// Reconciles the placement with the grants that a fenced target holds.
     ///
-    /// A shard that the placement gives it and that it does not hold is freed:
-    /// no lower term can grant it any more. A higher epoch than the placement's
-    /// was granted by a detached coordinator, and stands.
+    /// A shard that the placement assigns to the target but the target does not hold is freed,
+    /// as no lower term can grant it any more. A grant with a higher epoch than the placement's
+    /// comes from a detached coordinator and remains valid.
     fn reconcile_held_grants(&mut self, target: TargetKey, held: &[ShardGrant]) {
         let Some(session) = self.sessions.get(&target) else {
             return;
@@ -85,7 +85,7 @@
                 .is_some_and(TargetSession::accepts_grants);
             let higher = record.epoch < grant.epoch;
             let adopts = higher && !owner_live && !self.predecessor.records_known;
-            // Its lease expired and nobody was given the shard since: it may serve on as before.
+            // The lease expired, but no other target got the shard: the target stays its owner.
             let returns = record.phase == ShardPhase::Free && record.epoch == grant.epoch;
             if adopts || returns {
                 placement.set_loaded_owner(grant.shard, Some(target), grant.epoch);
@@ -109,7 +109,7 @@
         self.recount_owned();
     }
 
-    /// Has owners chosen anew for the free shards of a target's service.
+    /// Requests an assignment of owners for the free shards of a target's service.
     fn request_assignment(&mut self, target: TargetKey) {
         let service = self.sessions.get(&target).map(|session| session.service);
         if let Some(placement) = service.and_then(|service| self.placements.get_mut(&service)) {
@@ -127,14 +127,14 @@
         let Some(record) = placement.get(grant.shard) else {
             return;
         };
-        let meant = record.owner == Some(target) && record.epoch == grant.epoch;
-        if meant && placement.advance(grant.shard, event) {
+        let current = record.owner == Some(target) && record.epoch == grant.epoch;
+        if current && placement.advance(grant.shard, event) {
             let route = placement.route_change(grant.shard);
             self.log.push(route);
         }
     }
 
-    /// Frees a shard that a target gave up or refused.
+    /// Frees a shard that a target released or refused.
     fn free_shard(&mut self, target: TargetKey, grant: ShardGrant) {
         let Some(session) = self.sessions.get_mut(&target) else {
             return;
@@ -158,7 +158,7 @@
         self.log.push(route);
     }
 
-    /// Ends the sessions whose lease has surely expired.
+    /// Ends the sessions whose lease has expired by its upper bound.
     pub(super) fn expire_sessions(&mut self, now: Timestamp) {
         let expired: Vec<TargetKey> = self
             .sessions
@@ -172,16 +172,16 @@
         }
     }
 
-    /// Has the shards of a service wait for their targets when all of these lapse at one look.
+    /// Lets the shards of a service wait for its targets if all of these expire in one check.
     ///
-    /// This VM stood still, or was cut off, rather than all of them. Else the first target to
-    /// answer would get all their shards, and give most away again.
+    /// This VM has probably stalled or been disconnected. Without the wait, the first target to
+    /// reply would get all shards, and rebalancing would move most of them again.
     fn expect_return(&mut self, expired: &[TargetKey], now: Timestamp) {
         for (service, placement) in &mut self.placements {
-            let mut lives = self.sessions.values().filter(|session| {
+            let mut not_lost = self.sessions.values().filter(|session| {
                 session.service == *service && session.phase != SessionPhase::Lost
             });
-            if !expired.is_empty() && lives.all(|session| expired.contains(&session.key)) {
+            if !expired.is_empty() && not_lost.all(|session| expired.contains(&session.key)) {
                 placement.return_deadline = now + TARGET_DISCOVERY_TIMEOUT;
             }
         }
@@ -195,15 +195,15 @@
             return true;
         }
         let timings = &self.settings.timings;
-        let own = now >= session.lease_upper_bound || !enforced!("lapse_wait");
+        let own_lease_expired = now >= session.lease_upper_bound || !enforced!("lapse_wait");
         match session.phase {
-            // The predecessor may go on extending it until it is known to be stopped.
+            // The predecessor may extend the lease until it is known to have stopped.
             SessionPhase::New => {
                 let stopped_at = self.predecessor.stopped_at;
                 stopped_at
                     .map_or(!enforced!("successor_wait"), |at| now >= timings.lease_upper_bound(at))
             }
-            _ => own,
+            _ => own_lease_expired,
         }
     }
 
@@ -220,7 +220,7 @@
         self.notify(ZoneNotice::TargetLost(name, shards));
     }
 
-    /// Frees the shards of a target that is lost; gives their number if its service is placed here.
+    /// Frees the shards of a lost target, and returns their number if its service has a placement.
     fn free_shards_of(
         &mut self,
         target: TargetKey,
@@ -229,12 +229,12 @@
     ) -> Option<u32> {
         let placement = self.placements.get_mut(&service)?;
         placement.needs_assignment = true;
-        let returns = now < placement.return_deadline;
+        let expects_return = now < placement.return_deadline;
         let owned = placement.shards_where(|record| record.owner == Some(target));
         for shard in &owned {
             placement.advance(*shard, ShardEvent::OwnerLost);
             if let Some(record) = placement.get_mut(*shard) {
-                record.expects_return = returns;
+                record.expects_return = expects_return;
             }
             let route = placement.route_change(*shard);
             self.log.push(route);
@@ -242,9 +242,10 @@
         Some(owned.len() as u32)
     }
 
-    /// Frees the shards of targets that were lost before this coordinator had claimed the placement.
+    /// Frees the shards of targets that were lost before this coordinator claimed the placement.
     ///
-    /// No order is sent before, so none of the service's targets was heard: their shards wait for them.
+    /// Orders are sent only after the claim, so these targets could not reply earlier. Their
+    /// shards wait for them to return.
     pub(super) fn free_lost_shards(&mut self, service: ServiceKey, now: Timestamp) {
         let lost = |session: &&mut TargetSession| {
             session.service == service && session.phase == SessionPhase::Lost
@@ -292,10 +293,10 @@
         }
     }
 
-    /// Whether lists of standing grants may be sent.
+    /// Returns whether lists of standing grants may be sent.
     ///
-    /// A coordinator that may lack records of its predecessor first waits until
-    /// every target is fenced, or every lease of the predecessor is over.
+    /// A coordinator that may miss records of its predecessor first waits until every target is
+    /// fenced or every lease of the predecessor has expired.
     fn may_sync(&self, now: Timestamp) -> bool {
         if !self.publishes() {
             return false;
@@ -303,23 +304,23 @@
         if self.predecessor.records_known || !enforced!("records_wait") {
             return true;
         }
-        let unheard = |session: &TargetSession| session.phase == SessionPhase::New;
-        let all_fenced = !self.sessions.values().any(unheard);
+        let uncontacted = |session: &TargetSession| session.phase == SessionPhase::New;
+        let all_fenced = !self.sessions.values().any(uncontacted);
         let stopped_at = self.predecessor.stopped_at;
         all_fenced
             || stopped_at.is_some_and(|at| now >= self.settings.timings.lease_upper_bound(at))
     }
 
-    /// Whether a target out of reach waits for word that the predecessor is stopped.
+    /// Returns whether an unreachable target's shards wait for proof of the predecessor's stop.
     #[must_use]
     pub fn awaits_predecessor_stop(&self) -> bool {
-        let unheard =
+        let uncontacted =
             |session: &TargetSession| session.phase == SessionPhase::New && session.owned > 0;
         let unknown = self.predecessor.stopped_at.is_none() && self.predecessor.holder.is_some();
-        self.coordinates() && unknown && self.sessions.values().any(unheard)
+        self.coordinates() && unknown && self.sessions.values().any(uncontacted)
     }
 
-    /// Asks the predecessor to step down while a target is out of this VM's reach.
+    /// Requests the predecessor to step down while a target is unreachable for this VM.
     pub(super) fn request_step_down(&mut self, now: Timestamp) {
         let due =
             now.since(self.predecessor.requested_at) >= self.settings.timings.renewal_interval;
@@ -337,7 +338,7 @@
         self.actions.push(ZoneAction::RequestStepDown(holder, self.term));
     }
 
-    /// Forgets targets that are declared no more and hold nothing.
+    /// Drains targets that are no longer declared, and removes them once they own no shards.
     pub(super) fn retire_undeclared(&mut self, config: &DeclaredConfig) {
         let zone = &self.settings.zone;
         let declared: BTreeSet<TargetKey> =
@@ -350,7 +351,7 @@
         self.sessions.retain(|key, session| declared.contains(key) || session.owned > 0);
     }
 
-    /// Counts anew how many shards each target owns.
+    /// Recomputes the number of shards that each target owns.
     pub(super) fn recount_owned(&mut self) {
         let counts: Vec<_> = self.placements.values().map(ServicePlacement::owned_counts).collect();
         for session in self.sessions.values_mut() {
@@ -359,7 +360,7 @@
         }
     }
 
-    /// Whether planned changes may be made now.
+    /// Returns whether owners and moves may be planned.
     pub(super) const fn may_plan(&self) -> bool {
         matches!(self.phase, MandatePhase::Leading | MandatePhase::Detached)
     }
