--- a/crates/nickellead_lease/src/coordinator/mod.rs
+++ b/crates/nickellead_lease/src/coordinator/mod.rs
@@ -1,8 +1,8 @@
-//! The VM's side of ownership: follow, or hold the mandate and decide.
+//! Zone coordination in a VM: it follows the coordinator, or holds the mandate (leader lease)
+//! and assigns shards.
 //!
-//! One schedule, [`ZoneCoordinator::handle`], states the order of work for
-//! each event: note the event, then keep the mandate, load placements, look
-//! after sessions, plan, write, and send orders.
+//! [`ZoneCoordinator::handle`] applies each event and then runs a fixed sequence: mandate,
+//! placement loading, session expiry, planning, placement writes, record replication, orders.
 
 mod event;
 mod loading;
@@ -33,40 +33,40 @@
 use mandate_lease::MandateWatch;
 use records::RecordRound;
 
-/// Ended lives of VMs that are remembered.
+/// Maximum number of ended VM incarnations that are remembered.
 const MAX_ENDED_INCARNATIONS: usize = 256;
 
-/// What is known of the coordinator before this one.
+/// Knowledge about the previous coordinator.
 #[derive(Clone, Debug, Default)]
 struct Predecessor {
-    /// Since when it surely sends no more orders; `None` while it may.
+    /// When it was known to have stopped sending orders; `None` while it may still send some.
     stopped_at: Option<Timestamp>,
-    /// Whether this VM has every record the predecessor may have made.
+    /// Whether this VM stores every record that the predecessor may have replicated.
     records_known: bool,
-    /// Who it was, to be asked to step down.
+    /// Recipient of step-down requests.
     holder: Option<VmIncarnation>,
-    /// When it was last asked.
+    /// Time of the latest step-down request.
     requested_at: Timestamp,
 }
 
-/// A call of the platform under way for one placement.
+/// A pending platform call for one placement.
 #[derive(Clone, Copy, Debug)]
 struct PlacementCall {
     id: CallId,
-    /// The write it carries; 0 for a read.
+    /// Identifier of the write; 0 for a read.
     write_id: u64,
-    /// When it counts as failed, should no answer ever come.
+    /// When the call counts as failed if it has no outcome.
     deadline: Timestamp,
 }
 
-/// One VM's part in the coordination of its zone.
+/// State machine by which a VM takes part in the coordination of its zone.
 #[derive(Clone, Debug)]
 pub struct ZoneCoordinator {
     settings: CoordinatorSettings,
     phase: MandatePhase,
-    /// Own term while this VM holds the mandate.
+    /// Term of this VM's latest mandate.
     term: Term,
-    /// Highest term seen anywhere.
+    /// Highest term seen in any message or object.
     highest_term: Term,
     watch: MandateWatch,
     predecessor: Predecessor,
@@ -77,17 +77,17 @@
     calls: BTreeMap<ServiceKey, PlacementCall>,
     last_call: CallId,
     peers: BTreeMap<Name, (VmIncarnation, Timestamp)>,
-    /// Lives of VMs that were followed by another; a late word of theirs counts no more.
+    /// Incarnations that a later one has replaced; their delayed messages are ignored.
     ended_incarnations: VecDeque<VmIncarnation>,
     listed_vms: Option<BTreeSet<Name>>,
     last_announcement_at: Timestamp,
-    /// Whether the coordinator last heard named this VM as its standby; a VM that has
-    /// just started looks for itself as soon as a standby would.
+    /// Whether the latest announcement named this VM as a standby. Initially true, so that a
+    /// VM without an announcement reads the mandate as soon as a standby would.
     named_standby: bool,
-    /// Whether the coordinator was seen to go since it was last heard.
+    /// Whether the coordinator has stopped or its stream broke since the latest announcement.
     coordinator_lost: bool,
     stop_requested: bool,
-    /// New owners kept for a detached coordinator, by shard.
+    /// Records of new owners stored for a detached coordinator.
     records: BTreeMap<(ServiceKey, ShardIndex), (TargetKey, Epoch)>,
     record_round: Option<RecordRound>,
     last_batch: u64,
@@ -97,7 +97,7 @@
     actions: Vec<ZoneAction>,
 }
 
-/// The target that an event is an answer of.
+/// Returns the target if the event is the outcome of an order.
 fn replying_target(event: &ZoneEvent) -> Option<TargetKey> {
     match event {
         ZoneEvent::TargetReplied(reply) => Some(reply.target),
@@ -107,7 +107,7 @@
 }
 
 impl ZoneCoordinator {
-    /// A VM that has just started.
+    /// Creates the coordinator of a newly started VM, as a follower.
     #[must_use]
     pub fn new(settings: CoordinatorSettings, now: Timestamp) -> Self {
         let rng = fastrand::Rng::with_seed(settings.seed);
@@ -141,10 +141,10 @@
         }
     }
 
-    /// Takes in one event and returns what is to be done.
+    /// Applies an event and returns the resulting actions, in order.
     pub fn handle(&mut self, event: ZoneEvent, now: Timestamp) -> Vec<ZoneAction> {
-        // PERF: an answer of one target concerns that target's session alone. A look at
-        // all sessions for each answer would cost the square of their number.
+        // PERF: a reply affects only its target's session. Checking all sessions for each reply
+        // would be quadratic in the number of targets.
         let only = replying_target(&event);
         self.apply_event(event, now);
         self.drive_mandate(now);
@@ -165,54 +165,54 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Phase of this VM's part in the mandate.
+    /// Returns the VM's role with respect to the mandate.
     #[must_use]
     pub const fn phase(&self) -> MandatePhase {
         self.phase
     }
 
-    /// The term: this VM's own while it coordinates, else the highest seen.
+    /// Returns this VM's own term while it coordinates, else the highest term seen.
     #[must_use]
     pub fn term(&self) -> Term {
         if self.coordinates() { self.term } else { self.highest_term }
     }
 
-    /// Whether this VM coordinates its zone now.
+    /// Returns whether this VM coordinates its zone.
     #[must_use]
     pub const fn coordinates(&self) -> bool {
         matches!(self.phase, MandatePhase::Loading | MandatePhase::Leading | MandatePhase::Detached)
     }
 
-    /// The coordinator before this one, as far as it is known.
+    /// Returns the previous coordinator, if known.
     #[must_use]
     pub fn predecessor_vm(&self) -> Option<VmIncarnation> {
         self.predecessor.holder.clone()
     }
 
-    /// Whether the zone's coordinator was not heard for longer than it should be.
+    /// Returns whether announcements of the zone's coordinator are overdue.
     ///
-    /// Standbys hear it several times in a renewal's length, other VMs once a second.
+    /// Standbys receive several announcements per renewal interval, other VMs one per second.
     #[must_use]
     pub fn has_lost_coordinator(&self, now: Timestamp) -> bool {
-        let renewals = if self.named_standby { 1 } else { 5 };
+        let max_renewals = if self.named_standby { 1 } else { 5 };
         self.coordinator_lost
             || now.since(self.last_announcement_at)
-                >= self.settings.timings.renewal_interval * renewals
+                >= self.settings.timings.renewal_interval * max_renewals
     }
 
-    /// Whether routers may be told of this VM's placements.
+    /// Returns whether this VM publishes shard owners to routers.
     #[must_use]
     pub const fn publishes(&self) -> bool {
         matches!(self.phase, MandatePhase::Leading | MandatePhase::Detached)
     }
 
-    /// The published version.
+    /// Returns the term and version of the published shard owners.
     #[must_use]
     pub const fn published_version(&self) -> (Term, Version) {
         (self.log.term, self.log.version)
     }
 
-    /// What changed for a subscriber that knows `known`.
+    /// Returns the changes since `known`, or the whole table if the log does not cover them.
     #[must_use]
     pub fn delta(&self, known: Option<(Term, Version)>) -> ZoneDelta {
         let changes = self.log.changes_since(known);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// State of every target of the zone, for operators.
+    /// Returns the status of every target of the zone, for operators.
     #[must_use]
     pub fn target_statuses(&self) -> Vec<TargetStatus> {
         let status = |session: &TargetSession| TargetStatus {
@@ -249,15 +249,15 @@
         match event {
             ZoneEvent::Tick => {}
             ZoneEvent::ConfigChanged(config) => self.apply_config(config),
-            ZoneEvent::MandateRead(call, answer) => self.handle_mandate_read(call, answer, now),
-            ZoneEvent::MandateWritten(call, answer) => {
-                self.handle_mandate_written(call, answer, now)
+            ZoneEvent::MandateRead(call, outcome) => self.handle_mandate_read(call, outcome, now),
+            ZoneEvent::MandateWritten(call, outcome) => {
+                self.handle_mandate_written(call, outcome, now)
             }
-            ZoneEvent::PlacementRead(call, service, answer) => {
-                self.handle_placement_read(call, service, answer, now);
+            ZoneEvent::PlacementRead(call, service, outcome) => {
+                self.handle_placement_read(call, service, outcome, now);
             }
-            ZoneEvent::PlacementWritten(call, service, answer) => {
-                self.handle_placement_written(call, service, answer, now);
+            ZoneEvent::PlacementWritten(call, service, outcome) => {
+                self.handle_placement_written(call, service, outcome, now);
             }
             ZoneEvent::VmsListed(names) => self.listed_vms = Some(names.into_iter().collect()),
             ZoneEvent::TargetReplied(reply) => self.handle_reply(&reply, now),
@@ -276,7 +276,7 @@
                 self.watch.schedule_read_by(now);
             }
             ZoneEvent::RecordBatchReceived(batch) => self.store_records(&batch, now),
-            ZoneEvent::RecordResponseReceived(answer) => self.handle_record_response(&answer, now),
+            ZoneEvent::RecordResponseReceived(response) => self.handle_record_response(&response),
             ZoneEvent::StepDownRequested(term) => self.handle_step_down_request(term),
             ZoneEvent::StepDownConfirmed(term) => {
                 self.observe_term(term);
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Notes that a VM was heard; a life that another one followed is over for good.
+    /// Records a message of a VM. A new incarnation ends the earlier one for good.
     fn record_peer(&mut self, vm: VmIncarnation, now: Timestamp) {
         if self.ended_incarnations.contains(&vm) {
             return;
@@ -326,7 +326,7 @@
         self.actions.push(ZoneAction::ConfirmStepDown(self.highest_term));
     }
 
-    /// Takes note of a term; a higher one than this VM's ends its coordination.
+    /// Records a term that was seen, and steps down if it is higher than this VM's own.
     fn observe_term(&mut self, term: Term) {
         if term <= self.highest_term {
             return;
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(super) fn handle_record_response(&mut self, response: &RecordResponse, now: Timestamp) {
+    pub(super) fn handle_record_response(&mut self, response: &RecordResponse) {
         if self.coordinates() && response.term > self.term {
             self.observe_term(response.term);
         }
@@ -110,7 +110,6 @@
         }
         let vm = VmIncarnation { vm: response.vm.clone(), incarnation: response.incarnation };
         round.unacknowledged.remove(&vm);
-        let _ = now;
     }
 
     /// Stores a detached coordinator's records, unless this VM has begun to take over.
