--- a/crates/nickellead_lease/tests/budget.rs
+++ b/crates/nickellead_lease/tests/budget.rs
@@ -1,23 +1,23 @@
 //! Calls of the platform, counted: they must not grow with the number of VMs.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
-use world::World;
+use simulation::Simulation;
 
 /// Calls of all VMs in so many milliseconds.
-fn calls_in(world: &mut World, millis: u64) -> u64 {
-    let before = world.platform.calls;
-    world.run(millis);
-    world.platform.calls - before
+fn calls_in(simulation: &mut Simulation, millis: u64) -> u64 {
+    let before = simulation.platform.calls;
+    simulation.run(millis);
+    simulation.platform.calls - before
 }
 
 #[test]
 fn at_rest_only_the_coordinator_calls() {
     for vms in [3, 12, 48] {
-        let mut world = World::new(vms, 3);
-        world.run(6_000);
-        let calls = calls_in(&mut world, 10_000);
+        let mut simulation = Simulation::new(vms, 3);
+        simulation.run(6_000);
+        let calls = calls_in(&mut simulation, 10_000);
         assert!(calls <= 21, "{vms} VMs make {calls} calls in 10 s: the renewals are 20");
     }
 }
@@ -25,24 +25,24 @@
 #[test]
 fn a_lost_coordinator_costs_few_calls_whatever_the_number_of_vms() {
     for vms in [3, 12, 48] {
-        let mut world = World::new(vms, 3);
-        world.run(6_000);
-        let leader = world.leader().unwrap();
-        world.kill_vm(leader);
-        let calls = calls_in(&mut world, 3_000);
+        let mut simulation = Simulation::new(vms, 3);
+        simulation.run(6_000);
+        let leader = simulation.leader().unwrap();
+        simulation.kill_vm(leader);
+        let calls = calls_in(&mut simulation, 3_000);
         // Two standbys read five times a second, each other VM once; then renewals.
         let bound = 40 + 2 * vms as u64;
         assert!(calls <= bound, "{vms} VMs make {calls} calls in 3 s");
-        assert!(world.leader().is_some());
+        assert!(simulation.leader().is_some());
     }
 }
 
 #[test]
 fn an_outage_is_not_answered_with_a_storm_of_calls() {
-    let mut world = World::new(12, 3);
-    world.run(6_000);
-    world.platform.down = true;
-    let calls = calls_in(&mut world, 60_000);
+    let mut simulation = Simulation::new(12, 3);
+    simulation.run(6_000);
+    simulation.platform.down = true;
+    let calls = calls_in(&mut simulation, 60_000);
     assert!(calls <= 10 * 60, "{calls} calls in 60 s");
-    assert!(world.all_owned(), "an outage alone makes no key unavailable");
+    assert!(simulation.all_owned(), "an outage alone makes no key unavailable");
 }
--- a/crates/nickellead_lease/tests/exhaustive.rs
+++ b/crates/nickellead_lease/tests/exhaustive.rs
@@ -4,11 +4,11 @@
 //! panics with the moment and the owners; the steps stand in the message.
 #![allow(clippy::unwrap_used, clippy::print_stdout)]
 
-mod world;
+mod simulation;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use world::World;
+use simulation::Simulation;
 
 /// Steps of a sequence in an ordinary run.
 const DEPTH: usize = 5;
@@ -52,39 +52,39 @@
     }
 }
 
-fn play(world: &mut World, step: Move) {
+fn play(simulation: &mut Simulation, step: Move) {
     match step {
-        Move::KillOrRestartLeader => match world.leader() {
-            Some(leader) => world.kill_vm(leader),
+        Move::KillOrRestartLeader => match simulation.leader() {
+            Some(leader) => simulation.kill_vm(leader),
             None => {
-                let dead = (0..2).find(|vm| !world.vms[*vm].alive);
-                dead.into_iter().for_each(|vm| world.restart_vm(vm));
+                let dead = (0..2).find(|vm| !simulation.vms[*vm].alive);
+                dead.into_iter().for_each(|vm| simulation.restart_vm(vm));
             }
         },
-        Move::FreezeOrThawTarget => world.targets[0].paused = !world.targets[0].paused,
-        Move::RestartTarget => world.restart_target(0),
-        Move::CutFirstFromTarget => toggle(&mut world.cut_targets, (0, 0)),
-        Move::CutSecondFromTarget => toggle(&mut world.cut_targets, (1, 0)),
-        Move::CutVms => toggle(&mut world.cut_vms, (0, 1)),
-        Move::CutFirstFromPlatform => toggle(&mut world.cut_platform, 0),
-        Move::PlatformDown => world.platform.down = !world.platform.down,
-        Move::LoseAnswers => world.platform.lose_answers = !world.platform.lose_answers,
-        Move::RunShort => world.run(30),
-        Move::RunTakeover => world.run(1_700),
-        Move::RunLease => world.run(2_700),
+        Move::FreezeOrThawTarget => simulation.targets[0].paused = !simulation.targets[0].paused,
+        Move::RestartTarget => simulation.restart_target(0),
+        Move::CutFirstFromTarget => toggle(&mut simulation.cut_targets, (0, 0)),
+        Move::CutSecondFromTarget => toggle(&mut simulation.cut_targets, (1, 0)),
+        Move::CutVms => toggle(&mut simulation.cut_vms, (0, 1)),
+        Move::CutFirstFromPlatform => toggle(&mut simulation.cut_platform, 0),
+        Move::PlatformDown => simulation.platform.down = !simulation.platform.down,
+        Move::LoseAnswers => simulation.platform.lose_answers = !simulation.platform.lose_answers,
+        Move::RunShort => simulation.run(30),
+        Move::RunTakeover => simulation.run(1_700),
+        Move::RunLease => simulation.run(2_700),
     }
     // Whatever was disturbed, what is left goes on for a moment.
-    world.run(20);
+    simulation.run(20);
 }
 
 /// Plays every sequence that goes on from `world`; returns how many states were checked.
-fn explore(world: &World, path: &mut Vec<Move>, depth: usize) -> u64 {
+fn explore(simulation: &Simulation, path: &mut Vec<Move>, depth: usize) -> u64 {
     if depth == 0 {
         return 0;
     }
     let mut states = 0;
     for step in MOVES {
-        let mut next = world.clone();
+        let mut next = simulation.clone();
         path.push(step);
         let held = catch_unwind(AssertUnwindSafe(|| play(&mut next, step)));
         assert!(held.is_ok(), "broken by {path:?}");
@@ -98,10 +98,10 @@
 fn no_short_sequence_of_disturbances_gives_a_shard_two_owners() {
     let wanted = std::env::var("NICKELLEAD_DEPTH").ok().and_then(|text| text.parse().ok());
     let depth: usize = wanted.unwrap_or(DEPTH);
-    let mut world = World::new(2, 2);
-    world.run(4_000);
-    assert!(world.all_owned(), "{}", world.describe());
-    let states = explore(&world, &mut Vec::new(), depth);
+    let mut simulation = Simulation::new(2, 2);
+    simulation.run(4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
+    let states = explore(&simulation, &mut Vec::new(), depth);
     println!("depth={depth} states={states}");
     let moves = MOVES.len() as u64;
     assert_eq!(states, (1..=depth as u32).map(|level| moves.pow(level)).sum::<u64>());
--- a/crates/nickellead_lease/tests/found.rs
+++ b/crates/nickellead_lease/tests/regressions.rs
@@ -1,21 +1,21 @@
 //! Schedules that once broke a promise, by name.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use nickellead_core::{Term, Version};
 use nickellead_lease::ShardOwner;
-use world::World;
-use world::schedule::{Schedule, Step};
+use simulation::Simulation;
+use simulation::schedule::{Schedule, Step};
 
 /// Plays the steps, heals, and expects every shard to have one owner again.
-fn play(steps: &[Step]) -> World {
-    let mut world = Schedule(steps.to_vec()).play();
-    world.heal();
-    world.declare(&[]);
-    world.run(20_000);
-    assert!(world.all_owned(), "not every shard has an owner:\n{}", world.describe());
-    world
+fn play(steps: &[Step]) -> Simulation {
+    let mut simulation = Schedule(steps.to_vec()).play();
+    simulation.heal();
+    simulation.declare(&[]);
+    simulation.run(20_000);
+    assert!(simulation.all_owned(), "not every shard has an owner:\n{}", simulation.describe());
+    simulation
 }
 
 /// A fenced target that refused connections was asked again at once, for ever:
@@ -60,40 +60,44 @@
 /// more for its second read, as if it were none.
 #[test]
 fn a_standby_takes_over_within_its_targets_leases() {
-    let mut world = World::new(3, 3);
-    world.run(6_000);
-    let leader = world.leader().unwrap();
+    let mut simulation = Simulation::new(3, 3);
+    simulation.run(6_000);
+    let leader = simulation.leader().unwrap();
     let others: Vec<usize> = (0..3).filter(|vm| *vm != leader).collect();
     let (newcomer, standby) = (others[0], others[1]);
-    world.kill_vm(newcomer);
-    world.run(1_000);
+    simulation.kill_vm(newcomer);
+    simulation.run(1_000);
     // It hears nobody at first, and reads a mandate that does not name it.
-    world.cut_vms.extend([(newcomer, leader), (newcomer, standby)]);
-    world.restart_vm(newcomer);
-    world.run(3_000);
-    world.cut_vms.clear();
-    world.run(4_000);
-    world.kill_vm(leader);
-    world.kill_vm(standby);
-    world.run(1_900);
-    assert_eq!(world.leader(), Some(newcomer), "{}", world.describe());
-    assert!(world.all_owned(), "{}", world.describe());
+    simulation.cut_vms.extend([(newcomer, leader), (newcomer, standby)]);
+    simulation.restart_vm(newcomer);
+    simulation.run(3_000);
+    simulation.cut_vms.clear();
+    simulation.run(4_000);
+    simulation.kill_vm(leader);
+    simulation.kill_vm(standby);
+    simulation.run(1_900);
+    assert_eq!(simulation.leader(), Some(newcomer), "{}", simulation.describe());
+    assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
 /// The shards that the coordinator told routers nobody owns, since it was last asked.
-fn told_nobody(world: &World, known: &mut Option<(Term, Version)>) -> usize {
-    let Some(leader) = world.leader() else { return 0 };
-    let delta = world.vms[leader].coordinator.delta(*known);
+fn told_nobody(simulation: &Simulation, known: &mut Option<(Term, Version)>) -> usize {
+    let Some(leader) = simulation.leader() else { return 0 };
+    let delta = simulation.vms[leader].coordinator.delta(*known);
     *known = Some((delta.term, delta.version));
     delta.changes.iter().filter(|change| change.owner == ShardOwner::Unowned).count()
 }
 
 /// Runs for a while in short looks, and gives the shards that routers were told nobody owns.
-fn run_and_watch(world: &mut World, known: &mut Option<(Term, Version)>, millis: u64) -> usize {
+fn run_and_watch(
+    simulation: &mut Simulation,
+    known: &mut Option<(Term, Version)>,
+    millis: u64,
+) -> usize {
     const LOOK: u64 = 10;
     let look = |_| {
-        world.run(LOOK);
-        told_nobody(world, known)
+        simulation.run(LOOK);
+        told_nobody(simulation, known)
     };
     (0..millis / LOOK).map(look).sum()
 }
@@ -102,15 +106,15 @@
 /// that stands still for a lease finds all targets lost at one look, though they answer at once.
 #[test]
 fn a_coordinator_that_stood_still_has_requests_wait_for_its_targets() {
-    let mut world = World::new(3, 3);
-    world.run(4_000);
+    let mut simulation = Simulation::new(3, 3);
+    simulation.run(4_000);
     let mut known = None;
-    told_nobody(&world, &mut known);
-    world.vms.iter_mut().for_each(|vm| vm.paused = true);
-    world.run(3_000);
-    world.vms.iter_mut().for_each(|vm| vm.paused = false);
-    let nobody = run_and_watch(&mut world, &mut known, 4_000);
-    assert!(world.all_owned(), "{}", world.describe());
+    told_nobody(&simulation, &mut known);
+    simulation.vms.iter_mut().for_each(|vm| vm.paused = true);
+    simulation.run(3_000);
+    simulation.vms.iter_mut().for_each(|vm| vm.paused = false);
+    let nobody = run_and_watch(&mut simulation, &mut known, 4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
     assert_eq!(nobody, 0, "routers were told that nobody owns {nobody} shards");
 }
 
@@ -119,17 +123,17 @@
 /// is gone were never given to another. Proof: they had no owner ten seconds later.
 #[test]
 fn a_successor_that_reads_its_placement_late_replaces_a_target_that_is_gone() {
-    let mut world = World::new(3, 3);
-    world.run(4_000);
-    assert!(world.all_owned(), "{}", world.describe());
-    world.stop_leader();
-    world.platform.placements_down = true;
-    world.run(100);
-    world.targets[0].alive = false;
-    world.run(4_000);
-    assert!(!world.all_owned(), "the leases outlasted the outage");
-    world.platform.placements_down = false;
-    let nobody = run_and_watch(&mut world, &mut None, 4_000);
-    assert!(world.all_owned(), "{}", world.describe());
+    let mut simulation = Simulation::new(3, 3);
+    simulation.run(4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
+    simulation.stop_leader();
+    simulation.platform.placements_down = true;
+    simulation.run(100);
+    simulation.targets[0].alive = false;
+    simulation.run(4_000);
+    assert!(!simulation.all_owned(), "the leases outlasted the outage");
+    simulation.platform.placements_down = false;
+    let nobody = run_and_watch(&mut simulation, &mut None, 4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
     assert_eq!(nobody, 0, "routers were told that nobody owns {nobody} shards");
 }
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -3,7 +3,7 @@
 //! `tools/mutations` takes each rule out and expects a test to fail.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     ReadOutcome, RecordBatch, RunRefusal, SessionPhase, ShardGrant, ShardRecordEntry, TargetOrder,
     VmIncarnation, ZoneAction, ZoneCoordinator, ZoneEvent,
 };
-use world::{World, name};
+use simulation::{Simulation, name};
 
 const TARGET: TargetKey = TargetKey(7);
 const LIFE: Incarnation = Incarnation(3);
@@ -116,115 +116,115 @@
 }
 
 /// A world of three VMs that has come to rest, and its leader.
-fn settled(targets: usize) -> (World, usize, Vec<usize>) {
-    let mut world = World::new(3, targets);
-    world.run(4_000);
-    assert!(world.all_owned(), "{}", world.describe());
-    let leader = world.leader().unwrap();
+fn settled(targets: usize) -> (Simulation, usize, Vec<usize>) {
+    let mut simulation = Simulation::new(3, targets);
+    simulation.run(4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
+    let leader = simulation.leader().unwrap();
     let others = (0..3).filter(|vm| *vm != leader).collect();
-    (world, leader, others)
+    (simulation, leader, others)
 }
 
 /// The predecessor may go on extending a target that the successor can't reach.
 #[test]
 fn a_successor_waits_for_a_target_that_it_has_not_fenced() {
-    let (mut world, leader, others) = settled(3);
-    world.cut_platform.push(leader);
+    let (mut simulation, leader, others) = settled(3);
+    simulation.cut_platform.push(leader);
     for other in &others {
-        world.cut_vms.push((leader, *other));
-        world.cut_targets.push((*other, 0));
+        simulation.cut_vms.push((leader, *other));
+        simulation.cut_targets.push((*other, 0));
     }
-    world.run(12_000);
-    assert!(!world.all_owned(), "target 0 was replaced without evidence");
+    simulation.run(12_000);
+    assert!(!simulation.all_owned(), "target 0 was replaced without evidence");
     // The former coordinator can be asked now, and says that it has stepped down.
-    world.cut_vms.clear();
-    world.run(8_000);
-    assert!(world.all_owned(), "{}", world.describe());
+    simulation.cut_vms.clear();
+    simulation.run(8_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
 /// A coordinator that may lack records must not let a returning target serve on
 /// while another holds its shards by a grant that it does not know of.
 #[test]
 fn a_successor_without_records_waits_for_every_lease_of_its_predecessor() {
-    let (mut world, leader, others) = settled(2);
+    let (mut simulation, leader, others) = settled(2);
     for other in &others {
-        world.kill_vm(*other);
-        world.listed.retain(|listed| listed != other);
+        simulation.kill_vm(*other);
+        simulation.listed.retain(|listed| listed != other);
     }
-    world.run(4_000);
+    simulation.run(4_000);
     let newcomer = others[0];
-    world.cut_vms.push((leader, newcomer));
-    world.restart_vm(newcomer);
-    world.cut_platform.push(leader);
-    world.run(2_500);
-    assert_eq!(world.vms[leader].coordinator.phase(), MandatePhase::Detached);
-    world.targets[0].paused = true;
-    world.run(4_000);
-    let owner = world.owners(ShardIndex(0));
+    simulation.cut_vms.push((leader, newcomer));
+    simulation.restart_vm(newcomer);
+    simulation.cut_platform.push(leader);
+    simulation.run(2_500);
+    assert_eq!(simulation.vms[leader].coordinator.phase(), MandatePhase::Detached);
+    simulation.targets[0].paused = true;
+    simulation.run(4_000);
+    let owner = simulation.owners(ShardIndex(0));
     assert_eq!(owner, vec![1], "the detached coordinator replaced target 0");
-    world.targets[0].paused = false;
-    world.cut_targets.push((leader, 0));
-    world.cut_targets.push((newcomer, 1));
-    world.run(100);
-    world.kill_vm(leader);
-    world.listed.retain(|listed| *listed != leader);
-    world.tell_list(newcomer);
-    world.run(6_000);
-    assert_eq!(world.leader(), Some(newcomer));
-    assert!(world.all_owned(), "{}", world.describe());
+    simulation.targets[0].paused = false;
+    simulation.cut_targets.push((leader, 0));
+    simulation.cut_targets.push((newcomer, 1));
+    simulation.run(100);
+    simulation.kill_vm(leader);
+    simulation.listed.retain(|listed| *listed != leader);
+    simulation.tell_list(newcomer);
+    simulation.run(6_000);
+    assert_eq!(simulation.leader(), Some(newcomer));
+    assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
 /// The case that records exist for: a detached coordinator replaces a target,
 /// then a standby that can reach only the replaced one takes over.
 #[test]
 fn a_standby_that_takes_over_keeps_to_the_grants_of_the_detached_coordinator() {
-    let (mut world, leader, others) = settled(2);
-    world.platform.down = true;
-    world.run(2_500);
-    world.targets[0].paused = true;
-    world.run(4_000);
-    assert!((0..world::SHARDS).all(|shard| world.owners(ShardIndex(shard)) == [1]));
-    world.targets[0].paused = false;
-    world.cut_targets.extend([(leader, 0), (others[0], 1), (others[1], 1)]);
-    world.kill_vm(leader);
-    world.platform.down = false;
-    world.run(1_500);
-    let successor = world.leader().unwrap();
+    let (mut simulation, leader, others) = settled(2);
+    simulation.platform.down = true;
+    simulation.run(2_500);
+    simulation.targets[0].paused = true;
+    simulation.run(4_000);
+    assert!((0..simulation::SHARDS).all(|shard| simulation.owners(ShardIndex(shard)) == [1]));
+    simulation.targets[0].paused = false;
+    simulation.cut_targets.extend([(leader, 0), (others[0], 1), (others[1], 1)]);
+    simulation.kill_vm(leader);
+    simulation.platform.down = false;
+    simulation.run(1_500);
+    let successor = simulation.leader().unwrap();
     assert_ne!(successor, leader);
-    world.cut_targets.clear();
-    world.run(4_000);
-    assert!(world.all_owned(), "{}", world.describe());
+    simulation.cut_targets.clear();
+    simulation.run(4_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
 /// A write of the former coordinator that comes to the platform late must fail:
 /// the successor first writes its term into every placement.
 #[test]
 fn a_late_write_of_the_former_coordinator_fails_once_a_successor_acts() {
-    let (mut world, leader, others) = settled(2);
-    world.cut_targets.push((leader, 0));
-    world.cut_vms.extend([(leader, others[0]), (leader, others[1])]);
+    let (mut simulation, leader, others) = settled(2);
+    simulation.cut_targets.push((leader, 0));
+    simulation.cut_vms.extend([(leader, others[0]), (leader, others[1])]);
     let held = (0..600).any(|_| {
-        world.stall(10);
-        world.tick(leader);
-        let held = world.hold_placement_write(1_700);
+        simulation.stall(10);
+        simulation.tick(leader);
+        let held = simulation.hold_placement_write(1_700);
         if !held {
-            world.run(10);
+            simulation.run(10);
         }
         held
     });
     assert!(held, "the coordinator never replaced target 0");
-    world.vms[leader].paused = true;
-    world.cut_targets.extend([(others[0], 1), (others[1], 1)]);
+    simulation.vms[leader].paused = true;
+    simulation.cut_targets.extend([(others[0], 1), (others[1], 1)]);
     // The successor takes over, then the write comes, then its answer waits for the sender.
-    world.run(1_750);
-    let successor = world.vms.iter().position(|vm| !vm.paused && vm.coordinator.publishes());
-    assert!(successor.is_some(), "{}", world.describe());
-    world.vms[leader].paused = false;
-    world.deliver_placement_answer();
-    world.run(1_000);
-    world.heal();
-    world.run(8_000);
-    assert!(world.all_owned(), "{}", world.describe());
+    simulation.run(1_750);
+    let successor = simulation.vms.iter().position(|vm| !vm.paused && vm.coordinator.publishes());
+    assert!(successor.is_some(), "{}", simulation.describe());
+    simulation.vms[leader].paused = false;
+    simulation.deliver_placement_answer();
+    simulation.run(1_000);
+    simulation.heal();
+    simulation.run(8_000);
+    assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
 /// One VM on its own, told what the test wants it to hear.
@@ -248,7 +248,7 @@
         let now = Timestamp(1_000);
         let coordinator = ZoneCoordinator::new(settings, now);
         let mut lone = Self { coordinator, now, asked: Vec::new() };
-        lone.give(ZoneEvent::ConfigChanged(Arc::new(world::declare(2, &[]))));
+        lone.give(ZoneEvent::ConfigChanged(Arc::new(simulation::declare(2, &[]))));
         lone.give(ZoneEvent::VmsListed(vec![name("vm-0"), name("vm-9")]));
         lone
     }
@@ -334,15 +334,15 @@
 
 #[test]
 fn older_declarations_never_replace_newer_ones() {
-    let (mut world, leader, _) = settled(3);
-    let older = Arc::new(world::declare(3, &[]));
-    world.declare(&[(0, TargetState::Draining)]);
-    world.run(2_000);
-    world.tell(leader, ZoneEvent::ConfigChanged(older));
-    world.run(2_000);
-    assert!(world.all_owned());
-    assert!((0..world::SHARDS).all(|shard| world.owners(ShardIndex(shard)) != [0]));
-    let statuses = world.vms[leader].coordinator.target_statuses();
+    let (mut simulation, leader, _) = settled(3);
+    let older = Arc::new(simulation::declare(3, &[]));
+    simulation.declare(&[(0, TargetState::Draining)]);
+    simulation.run(2_000);
+    simulation.tell(leader, ZoneEvent::ConfigChanged(older));
+    simulation.run(2_000);
+    assert!(simulation.all_owned());
+    assert!((0..simulation::SHARDS).all(|shard| simulation.owners(ShardIndex(shard)) != [0]));
+    let statuses = simulation.vms[leader].coordinator.target_statuses();
     let drained = statuses.iter().find(|status| status.name == name("target-0")).unwrap();
     assert_eq!((drained.phase, drained.shards), (SessionPhase::Live, 0));
 }
--- a/crates/nickellead_lease/tests/schedules.rs
+++ b/crates/nickellead_lease/tests/schedules.rs
@@ -3,10 +3,10 @@
 //! The number of schedules is set by `NICKELLEAD_SCHEDULES`; the seed is fixed.
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod simulation;
 
 use quickcheck::{Gen, QuickCheck, TestResult};
-use world::schedule::Schedule;
+use simulation::schedule::Schedule;
 
 /// Schedules of one ordinary test run.
 const SCHEDULES: u64 = 1_500;
@@ -27,11 +27,11 @@
 #[test]
 fn no_schedule_gives_a_shard_two_owners_and_healing_gives_every_shard_one() {
     fn holds(schedule: Schedule) -> TestResult {
-        let mut world = schedule.play();
-        world.heal();
-        world.declare(&[]);
-        world.run(20_000);
-        assert!(world.all_owned(), "not every shard has an owner:\n{}", world.describe());
+        let mut simulation = schedule.play();
+        simulation.heal();
+        simulation.declare(&[]);
+        simulation.run(20_000);
+        assert!(simulation.all_owned(), "not every shard has an owner:\n{}", simulation.describe());
         TestResult::passed()
     }
     quickcheck().quickcheck(holds as fn(Schedule) -> TestResult);
--- a/crates/nickellead_lease/tests/world/carry.rs
+++ b/crates/nickellead_lease/tests/simulation/delivery.rs
@@ -3,9 +3,9 @@
 use nickellead_core::{Incarnation, TargetKey};
 use nickellead_lease::{TargetOrder, VmIncarnation, ZoneAction, ZoneEvent};
 
-use super::{LATENCY, MESSAGES_MAX, Message, Payload, VmNode, World};
+use super::{LATENCY, MESSAGES_MAX, Message, Payload, Simulation, VmNode};
 
-impl World {
+impl Simulation {
     /// VMs that can reach each other hear each other, as their streams do.
     pub(super) fn peers_meet(&mut self) {
         const PERIOD: u64 = 250;
--- a/crates/nickellead_lease/tests/world/mod.rs
+++ b/crates/nickellead_lease/tests/simulation/mod.rs
@@ -6,9 +6,9 @@
 //! processing time or bandwidth.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic)]
 
-mod carry;
+mod delivery;
 mod fake_platform;
-mod parts;
+mod nodes;
 pub mod schedule;
 
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
 };
 
 use fake_platform::FakePlatform;
-use parts::drift_clock;
-pub use parts::{TargetNode, VmNode, declare, name};
+use nodes::drift_clock;
+pub use nodes::{TargetNode, VmNode, declare, name};
 
 /// Shards of the one service.
 pub const SHARDS: u32 = 4;
@@ -49,7 +49,7 @@
 
 /// Everything, at one moment of global time.
 #[derive(Clone)]
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub vms: Vec<VmNode>,
     pub targets: Vec<TargetNode>,
@@ -68,9 +68,9 @@
     last_heard: BTreeMap<usize, u64>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(vms: usize, targets: usize) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             vms: Vec::new(),
             targets: Vec::new(),
@@ -86,15 +86,15 @@
             last_heard: BTreeMap::new(),
         };
         for number in 0..vms {
-            let node = world.make_vm(number);
-            world.vms.push(node);
+            let node = simulation.make_vm(number);
+            simulation.vms.push(node);
         }
         for number in 0..targets {
-            let node = world.make_target(number);
-            world.targets.push(node);
+            let node = simulation.make_target(number);
+            simulation.targets.push(node);
         }
-        (0..vms).for_each(|vm| world.introduce(vm));
-        world
+        (0..vms).for_each(|vm| simulation.introduce(vm));
+        simulation
     }
 
     fn make_vm(&mut self, number: usize) -> VmNode {
--- a/crates/nickellead_lease/tests/world/schedule.rs
+++ b/crates/nickellead_lease/tests/simulation/schedule.rs
@@ -3,7 +3,7 @@
 use nickellead_api::TargetState;
 use quickcheck::{Arbitrary, Gen};
 
-use super::World;
+use super::Simulation;
 
 /// VMs of a random world.
 const VMS: usize = 3;
@@ -111,12 +111,12 @@
 
 impl Schedule {
     /// Plays the schedule in a new world; panics when an invariant breaks.
-    pub fn play(&self) -> World {
-        let mut world = World::new(VMS, TARGETS);
+    pub fn play(&self) -> Simulation {
+        let mut simulation = Simulation::new(VMS, TARGETS);
         for step in &self.0 {
-            apply(&mut world, *step);
+            apply(&mut simulation, *step);
         }
-        world
+        simulation
     }
 }
 
@@ -127,55 +127,57 @@
     }
 }
 
-fn apply(world: &mut World, step: Step) {
+fn apply(simulation: &mut Simulation, step: Step) {
     let vm = |number: u8| usize::from(number) % VMS;
     let target = |number: u8| usize::from(number) % TARGETS;
     match step {
-        Step::Run(millis) => world.run(u64::from(millis)),
-        Step::Stall(millis) => world.stall(u64::from(millis)),
-        Step::Tick(number) => world.tick(vm(number)),
-        Step::Deliver(place) => world.deliver_one(usize::from(place)),
-        Step::Lose(place) => world.lose_one(usize::from(place)),
-        Step::Double(place, later) => world.double_one(usize::from(place), u64::from(later)),
-        Step::Delay(place, later) => world.delay_one(usize::from(place), u64::from(later)),
+        Step::Run(millis) => simulation.run(u64::from(millis)),
+        Step::Stall(millis) => simulation.stall(u64::from(millis)),
+        Step::Tick(number) => simulation.tick(vm(number)),
+        Step::Deliver(place) => simulation.deliver_one(usize::from(place)),
+        Step::Lose(place) => simulation.lose_one(usize::from(place)),
+        Step::Double(place, later) => simulation.double_one(usize::from(place), u64::from(later)),
+        Step::Delay(place, later) => simulation.delay_one(usize::from(place), u64::from(later)),
         Step::PauseVm(number) => {
-            let node = &mut world.vms[vm(number)];
+            let node = &mut simulation.vms[vm(number)];
             node.paused = !node.paused;
         }
         Step::PauseTarget(number) => {
-            let node = &mut world.targets[target(number)];
+            let node = &mut simulation.targets[target(number)];
             node.paused = !node.paused;
         }
-        Step::KillVm(number) => world.kill_vm(vm(number)),
+        Step::KillVm(number) => simulation.kill_vm(vm(number)),
         Step::UnlistVm(number) => {
             let number = vm(number);
-            if !world.vms[number].alive {
-                world.listed.retain(|listed| *listed != number);
+            if !simulation.vms[number].alive {
+                simulation.listed.retain(|listed| *listed != number);
             }
         }
         Step::RestartVm(number) => {
-            if !world.vms[vm(number)].alive {
-                world.restart_vm(vm(number));
+            if !simulation.vms[vm(number)].alive {
+                simulation.restart_vm(vm(number));
             }
         }
-        Step::KillTarget(number) => world.targets[target(number)].alive = false,
+        Step::KillTarget(number) => simulation.targets[target(number)].alive = false,
         Step::RestartTarget(number) => {
-            if !world.targets[target(number)].alive {
-                world.restart_target(target(number));
+            if !simulation.targets[target(number)].alive {
+                simulation.restart_target(target(number));
             }
         }
-        Step::CutTarget(one, other) => toggle(&mut world.cut_targets, (vm(one), target(other))),
-        Step::CutVms(one, other) => toggle(&mut world.cut_vms, (vm(one), vm(other))),
-        Step::CutPlatform(number) => toggle(&mut world.cut_platform, vm(number)),
-        Step::PlatformDown(down) => world.platform.down = down,
-        Step::LoseAnswers(lose) => world.platform.lose_answers = lose,
-        Step::Drain(number) => world.declare(&[(target(number), TargetState::Draining)]),
-        Step::Undrain => world.declare(&[]),
+        Step::CutTarget(one, other) => {
+            toggle(&mut simulation.cut_targets, (vm(one), target(other)))
+        }
+        Step::CutVms(one, other) => toggle(&mut simulation.cut_vms, (vm(one), vm(other))),
+        Step::CutPlatform(number) => toggle(&mut simulation.cut_platform, vm(number)),
+        Step::PlatformDown(down) => simulation.platform.down = down,
+        Step::LoseAnswers(lose) => simulation.platform.lose_answers = lose,
+        Step::Drain(number) => simulation.declare(&[(target(number), TargetState::Draining)]),
+        Step::Undrain => simulation.declare(&[]),
         Step::Begin(number, shard) => {
-            world.begin_request(target(number), u32::from(shard) % super::SHARDS);
+            simulation.begin_request(target(number), u32::from(shard) % super::SHARDS);
         }
-        Step::Finish(number) => world.finish_request(target(number)),
-        Step::StopLeader => world.stop_leader(),
-        Step::Heal => world.heal(),
+        Step::Finish(number) => simulation.finish_request(target(number)),
+        Step::StopLeader => simulation.stop_leader(),
+        Step::Heal => simulation.heal(),
     }
 }
