--- a/crates/nickellead_lease/tests/budget.rs
+++ b/crates/nickellead_lease/tests/budget.rs
@@ -1,11 +1,11 @@
-//! Calls of the platform, counted: they must not grow with the number of VMs.
+//! Bounds on platform calls, which must not grow with the number of VMs.
 #![allow(clippy::unwrap_used)]
 
 mod simulation;
 
 use simulation::Simulation;
 
-/// Calls of all VMs in so many milliseconds.
+/// Runs the simulation and returns the number of calls of all VMs.
 fn calls_in(simulation: &mut Simulation, millis: u64) -> u64 {
     let before = simulation.platform.calls;
     simulation.run(millis);
@@ -30,7 +30,8 @@
         let leader = simulation.leader().unwrap();
         simulation.kill_vm(leader);
         let calls = calls_in(&mut simulation, 3_000);
-        // Two standbys read five times a second, each other VM once; then renewals.
+        // Each of two standbys reads five times a second, and each other VM once; the rest are
+        // renewals.
         let bound = 40 + 2 * vms as u64;
         assert!(calls <= bound, "{vms} VMs make {calls} calls in 3 s");
         assert!(simulation.leader().is_some());
--- a/crates/nickellead_lease/tests/exhaustive.rs
+++ b/crates/nickellead_lease/tests/exhaustive.rs
@@ -1,7 +1,7 @@
-//! Every sequence of a few disturbances: two coordinators, two targets.
+//! Exhaustive search over short sequences of disturbances, with two VMs and two targets.
 //!
-//! The depth is set by `NICKELLEAD_DEPTH`. A sequence that breaks the promise
-//! panics with the moment and the owners; the steps stand in the message.
+//! `NICKELLEAD_DEPTH` sets the length of the sequences. A violation panics with the time, the
+//! owners and the sequence.
 #![allow(clippy::unwrap_used, clippy::print_stdout)]
 
 mod simulation;
@@ -10,12 +10,12 @@
 
 use simulation::Simulation;
 
-/// Steps of a sequence in an ordinary run.
+/// Default number of disturbances in a sequence.
 const DEPTH: usize = 5;
 
-/// One disturbance; each does the same wherever it stands.
+/// A disturbance whose effect depends only on the state of the simulation.
 #[derive(Clone, Copy, Debug)]
-enum Move {
+enum Disturbance {
     KillOrRestartLeader,
     FreezeOrThawTarget,
     RestartTarget,
@@ -24,70 +24,74 @@
     CutVms,
     CutFirstFromPlatform,
     PlatformDown,
-    LoseAnswers,
+    LoseResponses,
     RunShort,
     RunTakeover,
     RunLease,
 }
 
-const MOVES: [Move; 12] = [
-    Move::KillOrRestartLeader,
-    Move::FreezeOrThawTarget,
-    Move::RestartTarget,
-    Move::CutFirstFromTarget,
-    Move::CutSecondFromTarget,
-    Move::CutVms,
-    Move::CutFirstFromPlatform,
-    Move::PlatformDown,
-    Move::LoseAnswers,
-    Move::RunShort,
-    Move::RunTakeover,
-    Move::RunLease,
+const DISTURBANCES: [Disturbance; 12] = [
+    Disturbance::KillOrRestartLeader,
+    Disturbance::FreezeOrThawTarget,
+    Disturbance::RestartTarget,
+    Disturbance::CutFirstFromTarget,
+    Disturbance::CutSecondFromTarget,
+    Disturbance::CutVms,
+    Disturbance::CutFirstFromPlatform,
+    Disturbance::PlatformDown,
+    Disturbance::LoseResponses,
+    Disturbance::RunShort,
+    Disturbance::RunTakeover,
+    Disturbance::RunLease,
 ];
 
 fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T) {
     match list.iter().position(|known| *known == item) {
-        Some(place) => drop(list.remove(place)),
+        Some(index) => drop(list.remove(index)),
         None => list.push(item),
     }
 }
 
-fn play(simulation: &mut Simulation, step: Move) {
+fn play(simulation: &mut Simulation, step: Disturbance) {
     match step {
-        Move::KillOrRestartLeader => match simulation.leader() {
+        Disturbance::KillOrRestartLeader => match simulation.leader() {
             Some(leader) => simulation.kill_vm(leader),
             None => {
                 let dead = (0..2).find(|vm| !simulation.vms[*vm].alive);
                 dead.into_iter().for_each(|vm| simulation.restart_vm(vm));
             }
         },
-        Move::FreezeOrThawTarget => simulation.targets[0].paused = !simulation.targets[0].paused,
-        Move::RestartTarget => simulation.restart_target(0),
-        Move::CutFirstFromTarget => toggle(&mut simulation.cut_targets, (0, 0)),
-        Move::CutSecondFromTarget => toggle(&mut simulation.cut_targets, (1, 0)),
-        Move::CutVms => toggle(&mut simulation.cut_vms, (0, 1)),
-        Move::CutFirstFromPlatform => toggle(&mut simulation.cut_platform, 0),
-        Move::PlatformDown => simulation.platform.down = !simulation.platform.down,
-        Move::LoseAnswers => simulation.platform.lose_answers = !simulation.platform.lose_answers,
-        Move::RunShort => simulation.run(30),
-        Move::RunTakeover => simulation.run(1_700),
-        Move::RunLease => simulation.run(2_700),
+        Disturbance::FreezeOrThawTarget => {
+            simulation.targets[0].paused = !simulation.targets[0].paused
+        }
+        Disturbance::RestartTarget => simulation.restart_target(0),
+        Disturbance::CutFirstFromTarget => toggle(&mut simulation.cut_target_links, (0, 0)),
+        Disturbance::CutSecondFromTarget => toggle(&mut simulation.cut_target_links, (1, 0)),
+        Disturbance::CutVms => toggle(&mut simulation.cut_vm_links, (0, 1)),
+        Disturbance::CutFirstFromPlatform => toggle(&mut simulation.cut_platform_links, 0),
+        Disturbance::PlatformDown => simulation.platform.down = !simulation.platform.down,
+        Disturbance::LoseResponses => {
+            simulation.platform.lose_responses = !simulation.platform.lose_responses
+        }
+        Disturbance::RunShort => simulation.run(30),
+        Disturbance::RunTakeover => simulation.run(1_700),
+        Disturbance::RunLease => simulation.run(2_700),
     }
-    // Whatever was disturbed, what is left goes on for a moment.
+    // Lets the undisturbed parts continue.
     simulation.run(20);
 }
 
-/// Plays every sequence that goes on from `world`; returns how many states were checked.
-fn explore(simulation: &Simulation, path: &mut Vec<Move>, depth: usize) -> u64 {
+/// Plays every continuation of `path`, and returns the number of checked states.
+fn explore(simulation: &Simulation, path: &mut Vec<Disturbance>, depth: usize) -> u64 {
     if depth == 0 {
         return 0;
     }
     let mut states = 0;
-    for step in MOVES {
+    for step in DISTURBANCES {
         let mut next = simulation.clone();
         path.push(step);
-        let held = catch_unwind(AssertUnwindSafe(|| play(&mut next, step)));
-        assert!(held.is_ok(), "broken by {path:?}");
+        let result = catch_unwind(AssertUnwindSafe(|| play(&mut next, step)));
+        assert!(result.is_ok(), "broken by {path:?}");
         states += 1 + explore(&next, path, depth - 1);
         path.pop();
     }
@@ -103,6 +107,6 @@
     assert!(simulation.all_owned(), "{}", simulation.describe());
     let states = explore(&simulation, &mut Vec::new(), depth);
     println!("depth={depth} states={states}");
-    let moves = MOVES.len() as u64;
+    let moves = DISTURBANCES.len() as u64;
     assert_eq!(states, (1..=depth as u32).map(|level| moves.pow(level)).sum::<u64>());
 }
--- a/crates/nickellead_lease/tests/regressions.rs
+++ b/crates/nickellead_lease/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Schedules that once broke a promise, by name.
+//! Regression tests of schedules that violated an invariant.
 #![allow(clippy::unwrap_used)]
 
 mod simulation;
@@ -8,7 +8,7 @@
 use simulation::Simulation;
 use simulation::schedule::{Schedule, Step};
 
-/// Plays the steps, heals, and expects every shard to have one owner again.
+/// Plays the steps, undoes all disturbances, and expects every shard to have one owner.
 fn play(steps: &[Step]) -> Simulation {
     let mut simulation = Schedule(steps.to_vec()).play();
     simulation.heal();
@@ -18,10 +18,9 @@
     simulation
 }
 
-/// A fenced target that refused connections was asked again at once, for ever:
-/// the retry of an order that must come first had no pause.
+/// Guards against retrying an order to a fenced target without delay when connections are refused.
 #[test]
-fn a_target_out_of_reach_is_not_asked_in_a_tight_loop() {
+fn an_unreachable_target_gets_no_orders_in_a_tight_loop() {
     play(&[
         Step::Run(564),
         Step::PauseTarget(9),
@@ -32,16 +31,14 @@
     ]);
 }
 
-/// While the platform answered every call with an error at once, a placement
-/// was written, read and written again without a pause.
+/// Guards against writing and reading a placement without delay while every call fails at once.
 #[test]
 fn a_platform_that_refuses_is_not_called_in_a_tight_loop() {
     let steps = [Step::Run(1_017), Step::PlatformDown(true), Step::Stall(2_554), Step::Run(1_009)];
     play(&steps);
 }
 
-/// A standby whose read of the mandate was never answered waited for ever, and
-/// nobody else may take over for it.
+/// Guards against a standby that waits forever for the outcome of a lost mandate read.
 #[test]
 fn a_call_that_is_never_answered_does_not_stop_a_standby() {
     play(&[
@@ -56,8 +53,8 @@
     ]);
 }
 
-/// A standby that had last read the mandate before it was named waited 2 s and
-/// more for its second read, as if it were none.
+/// Guards against a standby that reads the mandate at the idle interval because its latest read
+/// did not name it yet.
 #[test]
 fn a_standby_takes_over_within_its_targets_leases() {
     let mut simulation = Simulation::new(3, 3);
@@ -67,11 +64,11 @@
     let (newcomer, standby) = (others[0], others[1]);
     simulation.kill_vm(newcomer);
     simulation.run(1_000);
-    // It hears nobody at first, and reads a mandate that does not name it.
-    simulation.cut_vms.extend([(newcomer, leader), (newcomer, standby)]);
+    // The newcomer gets no messages at first, and reads a mandate that does not name it.
+    simulation.cut_vm_links.extend([(newcomer, leader), (newcomer, standby)]);
     simulation.restart_vm(newcomer);
     simulation.run(3_000);
-    simulation.cut_vms.clear();
+    simulation.cut_vm_links.clear();
     simulation.run(4_000);
     simulation.kill_vm(leader);
     simulation.kill_vm(standby);
@@ -80,47 +77,46 @@
     assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
-/// The shards that the coordinator told routers nobody owns, since it was last asked.
-fn told_nobody(simulation: &Simulation, known: &mut Option<(Term, Version)>) -> usize {
+/// Counts the shards published as unowned since `known`, and advances `known`.
+fn published_unowned(simulation: &Simulation, known: &mut Option<(Term, Version)>) -> usize {
     let Some(leader) = simulation.leader() else { return 0 };
     let delta = simulation.vms[leader].coordinator.delta(*known);
     *known = Some((delta.term, delta.version));
     delta.changes.iter().filter(|change| change.owner == ShardOwner::Unowned).count()
 }
 
-/// Runs for a while in short looks, and gives the shards that routers were told nobody owns.
-fn run_and_watch(
+/// Runs the simulation in short steps, and counts the shards published as unowned.
+fn count_unowned_while_running(
     simulation: &mut Simulation,
     known: &mut Option<(Term, Version)>,
     millis: u64,
 ) -> usize {
-    const LOOK: u64 = 10;
-    let look = |_| {
-        simulation.run(LOOK);
-        told_nobody(simulation, known)
+    const CHECK_INTERVAL_MS: u64 = 10;
+    let step = |_| {
+        simulation.run(CHECK_INTERVAL_MS);
+        published_unowned(simulation, known)
     };
-    (0..millis / LOOK).map(look).sum()
+    (0..millis / CHECK_INTERVAL_MS).map(step).sum()
 }
 
-/// Seen once in CI, perhaps: 8 requests in a planned stop were refused as owner-unknown. A coordinator
-/// that stands still for a lease finds all targets lost at one look, though they answer at once.
+/// Guards against refused requests after a coordinator stalls for a lease duration: it finds the
+/// leases of all targets expired, although the targets reply at once.
 #[test]
-fn a_coordinator_that_stood_still_has_requests_wait_for_its_targets() {
+fn a_stalled_coordinator_lets_requests_wait_for_its_targets() {
     let mut simulation = Simulation::new(3, 3);
     simulation.run(4_000);
     let mut known = None;
-    told_nobody(&simulation, &mut known);
+    published_unowned(&simulation, &mut known);
     simulation.vms.iter_mut().for_each(|vm| vm.paused = true);
     simulation.run(3_000);
     simulation.vms.iter_mut().for_each(|vm| vm.paused = false);
-    let nobody = run_and_watch(&mut simulation, &mut known, 4_000);
+    let unowned = count_unowned_while_running(&mut simulation, &mut known, 4_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
-    assert_eq!(nobody, 0, "routers were told that nobody owns {nobody} shards");
+    assert_eq!(unowned, 0, "{unowned} shards were published as unowned");
 }
 
-/// Seen by reading the path of that refusal: a successor that reads its placement after all leases are
-/// over takes its predecessor's targets for owners, though it counts them as lost. The keys of one that
-/// is gone were never given to another. Proof: they had no owner ten seconds later.
+/// Guards against shards that stay with a lost target: a successor that reads its placement after
+/// all leases have expired must reassign the shards of a target that is gone.
 #[test]
 fn a_successor_that_reads_its_placement_late_replaces_a_target_that_is_gone() {
     let mut simulation = Simulation::new(3, 3);
@@ -133,7 +129,7 @@
     simulation.run(4_000);
     assert!(!simulation.all_owned(), "the leases outlasted the outage");
     simulation.platform.placements_down = false;
-    let nobody = run_and_watch(&mut simulation, &mut None, 4_000);
+    let unowned = count_unowned_while_running(&mut simulation, &mut None, 4_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
-    assert_eq!(nobody, 0, "routers were told that nobody owns {nobody} shards");
+    assert_eq!(unowned, 0, "{unowned} shards were published as unowned");
 }
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -1,6 +1,6 @@
-//! One test for each safety rule that random schedules do not reach.
+//! Tests of the safety rules that random schedules do not cover.
 //!
-//! `tools/mutations` takes each rule out and expects a test to fail.
+//! `tools/mutations` disables each rule and expects a test to fail.
 #![allow(clippy::unwrap_used)]
 
 mod simulation;
@@ -20,7 +20,7 @@
 use simulation::{Simulation, name};
 
 const TARGET: TargetKey = TargetKey(7);
-const LIFE: Incarnation = Incarnation(3);
+const INCARNATION: Incarnation = Incarnation(3);
 
 fn grant(shard: u32, epoch: u64) -> ShardGrant {
     ShardGrant { shard: ShardIndex(shard), epoch: Epoch(epoch) }
@@ -30,7 +30,7 @@
     TargetOrder {
         target: TARGET,
         term: Term(term),
-        incarnation: Some(LIFE),
+        incarnation: Some(INCARNATION),
         sequence: Sequence(sequence),
         echo: None,
         lease_ms: 2_400,
@@ -42,7 +42,7 @@
 
 /// A guard that holds shard 1 at epoch 5 under a live session of term 2.
 fn serving_guard() -> GrantGuard {
-    let mut guard = GrantGuard::new(TARGET, LIFE);
+    let mut guard = GrantGuard::new(TARGET, INCARNATION);
     let hello = TargetOrder { incarnation: None, ..order(2, 1) };
     let nonce = guard.apply(&hello, Timestamp(100)).nonce;
     let sync = TargetOrder {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_order_for_an_earlier_life_is_refused() {
+fn an_order_for_an_earlier_incarnation_is_refused() {
     let mut guard = GrantGuard::new(TARGET, Incarnation(4));
     let stale =
         TargetOrder { standing: Some(Vec::new()), grants: vec![grant(1, 5)], ..order(2, 9) };
@@ -115,8 +115,8 @@
     assert_eq!(guard.apply(&release(4), Timestamp(240)).released, vec![grant(1, 5)]);
 }
 
-/// A world of three VMs that has come to rest, and its leader.
-fn settled(targets: usize) -> (Simulation, usize, Vec<usize>) {
+/// A simulation of three VMs in which every shard has an owner; with the leader and the others.
+fn settled_simulation(targets: usize) -> (Simulation, usize, Vec<usize>) {
     let mut simulation = Simulation::new(3, targets);
     simulation.run(4_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
@@ -125,37 +125,37 @@
     (simulation, leader, others)
 }
 
-/// The predecessor may go on extending a target that the successor can't reach.
+/// Guards against replacing a target whose lease the predecessor may still extend.
 #[test]
 fn a_successor_waits_for_a_target_that_it_has_not_fenced() {
-    let (mut simulation, leader, others) = settled(3);
-    simulation.cut_platform.push(leader);
+    let (mut simulation, leader, others) = settled_simulation(3);
+    simulation.cut_platform_links.push(leader);
     for other in &others {
-        simulation.cut_vms.push((leader, *other));
-        simulation.cut_targets.push((*other, 0));
+        simulation.cut_vm_links.push((leader, *other));
+        simulation.cut_target_links.push((*other, 0));
     }
     simulation.run(12_000);
     assert!(!simulation.all_owned(), "target 0 was replaced without evidence");
-    // The former coordinator can be asked now, and says that it has stepped down.
-    simulation.cut_vms.clear();
+    // The predecessor becomes reachable and confirms that it has stepped down.
+    simulation.cut_vm_links.clear();
     simulation.run(8_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
-/// A coordinator that may lack records must not let a returning target serve on
-/// while another holds its shards by a grant that it does not know of.
+/// Guards against a coordinator without records that lets a returning target serve shards which
+/// a detached predecessor granted to another one.
 #[test]
 fn a_successor_without_records_waits_for_every_lease_of_its_predecessor() {
-    let (mut simulation, leader, others) = settled(2);
+    let (mut simulation, leader, others) = settled_simulation(2);
     for other in &others {
         simulation.kill_vm(*other);
-        simulation.listed.retain(|listed| listed != other);
+        simulation.listed_vms.retain(|listed| listed != other);
     }
     simulation.run(4_000);
     let newcomer = others[0];
-    simulation.cut_vms.push((leader, newcomer));
+    simulation.cut_vm_links.push((leader, newcomer));
     simulation.restart_vm(newcomer);
-    simulation.cut_platform.push(leader);
+    simulation.cut_platform_links.push(leader);
     simulation.run(2_500);
     assert_eq!(simulation.vms[leader].coordinator.phase(), MandatePhase::Detached);
     simulation.targets[0].paused = true;
@@ -163,78 +163,78 @@
     let owner = simulation.owners(ShardIndex(0));
     assert_eq!(owner, vec![1], "the detached coordinator replaced target 0");
     simulation.targets[0].paused = false;
-    simulation.cut_targets.push((leader, 0));
-    simulation.cut_targets.push((newcomer, 1));
+    simulation.cut_target_links.push((leader, 0));
+    simulation.cut_target_links.push((newcomer, 1));
     simulation.run(100);
     simulation.kill_vm(leader);
-    simulation.listed.retain(|listed| *listed != leader);
-    simulation.tell_list(newcomer);
+    simulation.listed_vms.retain(|listed| *listed != leader);
+    simulation.send_vm_list(newcomer);
     simulation.run(6_000);
     assert_eq!(simulation.leader(), Some(newcomer));
     assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
-/// The case that records exist for: a detached coordinator replaces a target,
-/// then a standby that can reach only the replaced one takes over.
+/// Guards against losing the grants of a detached coordinator: it replaces a target, then a
+/// standby takes over that can reach only the replaced one.
 #[test]
 fn a_standby_that_takes_over_keeps_to_the_grants_of_the_detached_coordinator() {
-    let (mut simulation, leader, others) = settled(2);
+    let (mut simulation, leader, others) = settled_simulation(2);
     simulation.platform.down = true;
     simulation.run(2_500);
     simulation.targets[0].paused = true;
     simulation.run(4_000);
     assert!((0..simulation::SHARDS).all(|shard| simulation.owners(ShardIndex(shard)) == [1]));
     simulation.targets[0].paused = false;
-    simulation.cut_targets.extend([(leader, 0), (others[0], 1), (others[1], 1)]);
+    simulation.cut_target_links.extend([(leader, 0), (others[0], 1), (others[1], 1)]);
     simulation.kill_vm(leader);
     simulation.platform.down = false;
     simulation.run(1_500);
     let successor = simulation.leader().unwrap();
     assert_ne!(successor, leader);
-    simulation.cut_targets.clear();
+    simulation.cut_target_links.clear();
     simulation.run(4_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
-/// A write of the former coordinator that comes to the platform late must fail:
-/// the successor first writes its term into every placement.
+/// Guards against a delayed placement write of the predecessor that takes effect after a
+/// successor acts: the successor first writes its term into every placement.
 #[test]
 fn a_late_write_of_the_former_coordinator_fails_once_a_successor_acts() {
-    let (mut simulation, leader, others) = settled(2);
-    simulation.cut_targets.push((leader, 0));
-    simulation.cut_vms.extend([(leader, others[0]), (leader, others[1])]);
-    let held = (0..600).any(|_| {
+    let (mut simulation, leader, others) = settled_simulation(2);
+    simulation.cut_target_links.push((leader, 0));
+    simulation.cut_vm_links.extend([(leader, others[0]), (leader, others[1])]);
+    let delayed = (0..600).any(|_| {
         simulation.stall(10);
         simulation.tick(leader);
-        let held = simulation.hold_placement_write(1_700);
-        if !held {
+        let delayed = simulation.delay_placement_write(1_700);
+        if !delayed {
             simulation.run(10);
         }
-        held
+        delayed
     });
-    assert!(held, "the coordinator never replaced target 0");
+    assert!(delayed, "the coordinator never replaced target 0");
     simulation.vms[leader].paused = true;
-    simulation.cut_targets.extend([(others[0], 1), (others[1], 1)]);
-    // The successor takes over, then the write comes, then its answer waits for the sender.
+    simulation.cut_target_links.extend([(others[0], 1), (others[1], 1)]);
+    // The successor takes over, then the write arrives, then its outcome waits for the sender.
     simulation.run(1_750);
     let successor = simulation.vms.iter().position(|vm| !vm.paused && vm.coordinator.publishes());
     assert!(successor.is_some(), "{}", simulation.describe());
     simulation.vms[leader].paused = false;
-    simulation.deliver_placement_answer();
+    simulation.deliver_placement_outcome();
     simulation.run(1_000);
     simulation.heal();
     simulation.run(8_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
 }
 
-/// One VM on its own, told what the test wants it to hear.
-struct LoneVm {
+/// A single coordinator that receives only the events of the test.
+struct SingleVm {
     coordinator: ZoneCoordinator,
     now: Timestamp,
-    asked: Vec<ZoneAction>,
+    actions: Vec<ZoneAction>,
 }
 
-impl LoneVm {
+impl SingleVm {
     fn new() -> Self {
         let vm = VmIncarnation { vm: name("vm-0"), incarnation: Incarnation(1) };
         let settings = CoordinatorSettings {
@@ -247,32 +247,32 @@
         };
         let now = Timestamp(1_000);
         let coordinator = ZoneCoordinator::new(settings, now);
-        let mut lone = Self { coordinator, now, asked: Vec::new() };
-        lone.give(ZoneEvent::ConfigChanged(Arc::new(simulation::declare(2, &[]))));
-        lone.give(ZoneEvent::VmsListed(vec![name("vm-0"), name("vm-9")]));
-        lone
+        let mut vm = Self { coordinator, now, actions: Vec::new() };
+        vm.handle(ZoneEvent::ConfigChanged(Arc::new(simulation::declare(2, &[]))));
+        vm.handle(ZoneEvent::VmsListed(vec![name("vm-0"), name("vm-9")]));
+        vm
     }
 
-    fn give(&mut self, event: ZoneEvent) -> Vec<ZoneAction> {
+    fn handle(&mut self, event: ZoneEvent) -> Vec<ZoneAction> {
         let actions = self.coordinator.handle(event, self.now);
-        self.asked.extend(actions.clone());
+        self.actions.extend(actions.clone());
         actions
     }
 
-    fn wait(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now = Timestamp(self.now.0 + millis);
-        self.give(ZoneEvent::Tick);
+        self.handle(ZoneEvent::Tick);
     }
 
-    /// Answers the read of the mandate that is under way, if there is one.
-    fn answer_read(&mut self, version: u64, renewal: u64) {
-        let read = self.asked.drain(..).rev().find_map(|action| match action {
+    /// Completes the pending mandate read, if there is one.
+    fn complete_read(&mut self, version: u64, renewal: u64) {
+        let read = self.actions.drain(..).rev().find_map(|action| match action {
             ZoneAction::ReadMandate(call) => Some(call),
             _ => None,
         });
         if let Some(call) = read {
             let answer = ReadOutcome::Found(foreign_mandate(renewal), Version(version));
-            self.give(ZoneEvent::MandateRead(call, answer));
+            self.handle(ZoneEvent::MandateRead(call, answer));
         }
     }
 }
@@ -298,7 +298,7 @@
     RecordBatch { term: Term(term), number: 1, entries: vec![entry] }
 }
 
-fn is_kept(actions: &[ZoneAction]) -> bool {
+fn is_stored(actions: &[ZoneAction]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.stored))
@@ -306,39 +306,42 @@
 
 #[test]
 fn a_standby_that_began_to_take_the_mandate_keeps_no_record() {
-    let mut lone = LoneVm::new();
-    assert!(is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))), "a follower keeps it");
+    let mut vm = SingleVm::new();
+    assert!(
+        is_stored(&vm.handle(ZoneEvent::RecordBatchReceived(batch(4)))),
+        "a follower stores it"
+    );
     for _ in 0..24 {
-        lone.wait(300);
-        if lone.coordinator.phase() == MandatePhase::Follower {
-            lone.answer_read(10, 1);
+        vm.advance(300);
+        if vm.coordinator.phase() == MandatePhase::Follower {
+            vm.complete_read(10, 1);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
-    assert!(!is_kept(&lone.give(ZoneEvent::RecordBatchReceived(batch(4)))));
+    assert_eq!(vm.coordinator.phase(), MandatePhase::Acquiring);
+    assert!(!is_stored(&vm.handle(ZoneEvent::RecordBatchReceived(batch(4)))));
 }
 
 #[test]
 fn a_stale_read_does_not_look_like_a_renewal() {
-    let mut lone = LoneVm::new();
+    let mut vm = SingleVm::new();
     for round in 0..24 {
-        lone.wait(300);
-        if lone.coordinator.phase() == MandatePhase::Follower {
-            // One replica of the platform lags: it still shows the version before.
+        vm.advance(300);
+        if vm.coordinator.phase() == MandatePhase::Follower {
+            // A lagging replica of the platform returns the previous version.
             let (version, renewal) = if round % 2 == 0 { (10, 2) } else { (9, 1) };
-            lone.answer_read(version, renewal);
+            vm.complete_read(version, renewal);
         }
     }
-    assert_eq!(lone.coordinator.phase(), MandatePhase::Acquiring);
+    assert_eq!(vm.coordinator.phase(), MandatePhase::Acquiring);
 }
 
 #[test]
 fn older_declarations_never_replace_newer_ones() {
-    let (mut simulation, leader, _) = settled(3);
+    let (mut simulation, leader, _) = settled_simulation(3);
     let older = Arc::new(simulation::declare(3, &[]));
     simulation.declare(&[(0, TargetState::Draining)]);
     simulation.run(2_000);
-    simulation.tell(leader, ZoneEvent::ConfigChanged(older));
+    simulation.inject_event(leader, ZoneEvent::ConfigChanged(older));
     simulation.run(2_000);
     assert!(simulation.all_owned());
     assert!((0..simulation::SHARDS).all(|shard| simulation.owners(ShardIndex(shard)) != [0]));
--- a/crates/nickellead_lease/tests/schedules.rs
+++ b/crates/nickellead_lease/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Random schedules of losses, delays, pauses, cuts and restarts.
+//! Random schedules of losses, delays, pauses, partitions and restarts.
 //!
-//! The number of schedules is set by `NICKELLEAD_SCHEDULES`; the seed is fixed.
+//! `NICKELLEAD_SCHEDULES` sets the number of schedules; the seed is fixed.
 #![allow(clippy::unwrap_used)]
 
 mod simulation;
@@ -8,9 +8,9 @@
 use quickcheck::{Gen, QuickCheck, TestResult};
 use simulation::schedule::Schedule;
 
-/// Schedules of one ordinary test run.
+/// Default number of schedules.
 const SCHEDULES: u64 = 1_500;
-/// Steps of one schedule.
+/// Number of steps in one schedule.
 const STEPS: usize = 40;
 const SEED: u64 = 20_261_202;
 
--- a/crates/nickellead_lease/tests/simulation/delivery.rs
+++ b/crates/nickellead_lease/tests/simulation/delivery.rs
@@ -1,38 +1,39 @@
-//! How the world carries messages: VMs meet, actions become messages, messages arrive.
+//! Delivery of messages: announcements between VMs, actions, and due messages.
 
 use nickellead_core::{Incarnation, TargetKey};
 use nickellead_lease::{TargetOrder, VmIncarnation, ZoneAction, ZoneEvent};
 
-use super::{LATENCY, MESSAGES_MAX, Message, Payload, Simulation, VmNode};
+use super::{LATENCY_MS, MAX_MESSAGES, Message, Payload, Simulation, VmNode};
 
 impl Simulation {
-    /// VMs that can reach each other hear each other, as their streams do.
-    pub(super) fn peers_meet(&mut self) {
-        const PERIOD: u64 = 250;
+    /// Sends announcements between VMs that can reach each other, as their streams do.
+    pub(super) fn exchange_peer_messages(&mut self) {
+        const INTERVAL_MS: u64 = 250;
         for vm in 0..self.vms.len() {
-            let due = self.last_heard.get(&vm).is_none_or(|last| self.now >= last + PERIOD);
-            if !due || !self.runs(vm) {
+            let due =
+                self.last_exchanges.get(&vm).is_none_or(|last| self.now >= last + INTERVAL_MS);
+            if !due || !self.is_running(vm) {
                 continue;
             }
-            self.last_heard.insert(vm, self.now);
-            if self.now % 1_000 < PERIOD {
-                self.tell_list(vm);
+            self.last_exchanges.insert(vm, self.now);
+            if self.now % 1_000 < INTERVAL_MS {
+                self.send_vm_list(vm);
             }
             for other in 0..self.vms.len() {
-                if other != vm && self.runs(other) && !self.vms_cut(vm, other) {
-                    self.hear(vm, other);
+                if other != vm && self.is_running(other) && !self.is_link_cut(vm, other) {
+                    self.announce(vm, other);
                 }
             }
         }
     }
 
-    fn hear(&mut self, vm: usize, other: usize) {
+    fn announce(&mut self, vm: usize, other: usize) {
         let node = &self.vms[other];
         let seen =
             VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         let leads = node.coordinator.publishes();
         let term = node.coordinator.term();
-        // VMs ask coordinators; they ask each other only while they know none.
+        // VMs request updates from coordinators, and from other VMs only while they know none.
         let searches = self.vms.len() <= 4 || self.leader().is_none();
         if searches || self.vms[vm].coordinator.publishes() {
             self.send(Payload::Peer(other, vm, ZoneEvent::PeerSeen(seen)));
@@ -47,30 +48,30 @@
         }
     }
 
-    pub(super) fn runs(&self, vm: usize) -> bool {
+    pub(super) fn is_running(&self, vm: usize) -> bool {
         self.vms[vm].alive && !self.vms[vm].paused
     }
 
-    fn vms_cut(&self, one: usize, other: usize) -> bool {
-        self.cut_vms.contains(&(one, other)) || self.cut_vms.contains(&(other, one))
+    fn is_link_cut(&self, one: usize, other: usize) -> bool {
+        self.cut_vm_links.contains(&(one, other)) || self.cut_vm_links.contains(&(other, one))
     }
 
     pub(super) fn send(&mut self, payload: Payload) {
-        if self.messages.len() >= MESSAGES_MAX.max(self.vms.len() * 20) {
+        if self.messages.len() >= MAX_MESSAGES.max(self.vms.len() * 20) {
             self.messages.remove(0);
         }
-        self.messages.push(Message { due: self.now + LATENCY, payload });
+        self.messages.push(Message { due: self.now + LATENCY_MS, payload });
     }
 
     pub(super) fn deliver_due(&mut self) {
         let mut rounds = 0;
-        while let Some(place) = self.messages.iter().position(|message| message.due <= self.now + 9)
+        while let Some(index) = self.messages.iter().position(|message| message.due <= self.now + 9)
         {
-            let message = self.messages.remove(place);
+            let message = self.messages.remove(index);
             self.deliver(message.payload);
             rounds += 1;
 
-            assert!(rounds < 10_000, "messages never come to rest");
+            assert!(rounds < 10_000, "message delivery does not terminate");
         }
     }
 
@@ -78,25 +79,25 @@
         if let Payload::Event(vm, _) | Payload::Reply(vm, ..) | Payload::Peer(_, vm, _) = &payload
             && self.vms[*vm].paused
         {
-            // The bytes wait in its sockets until it goes on.
+            // The bytes wait in the VM's sockets until it resumes.
             self.messages.push(Message { due: self.now + 50, payload });
             return;
         }
         match payload {
-            Payload::Event(vm, event) => self.give(vm, event),
+            Payload::Event(vm, event) => self.handle_event(vm, event),
             Payload::Peer(from, to, event) => {
-                if !self.vms_cut(from, to) {
-                    self.give(to, event);
+                if !self.is_link_cut(from, to) {
+                    self.handle_event(to, event);
                 }
             }
             Payload::Order(vm, target, order) => self.deliver_order(vm, target, &order),
             Payload::Reply(vm, target, reply) => {
-                if !self.cut_targets.contains(&(vm, target)) {
-                    self.give(vm, ZoneEvent::TargetReplied(reply));
+                if !self.cut_target_links.contains(&(vm, target)) {
+                    self.handle_event(vm, ZoneEvent::TargetReplied(reply));
                 }
             }
             Payload::Platform(vm, action) => {
-                let reachable = !self.cut_platform.contains(&vm);
+                let reachable = !self.cut_platform_links.contains(&vm);
                 let answer = self.platform.call(&action, reachable);
                 self.send(Payload::Event(vm, answer));
             }
@@ -105,13 +106,13 @@
 
     fn deliver_order(&mut self, vm: usize, target: usize, order: &TargetOrder) {
         let node = &mut self.targets[target];
-        if self.cut_targets.contains(&(vm, target)) || !node.alive {
+        if self.cut_target_links.contains(&(vm, target)) || !node.alive {
             let failed = ZoneEvent::TargetFailed(order.target, order.sequence);
             self.send(Payload::Event(vm, failed));
             return;
         }
         if node.paused {
-            // The bytes wait in its socket until it goes on.
+            // The bytes wait in the target's socket until it resumes.
             let due = self.now + 50;
             let payload = Payload::Order(vm, target, order.clone());
             self.messages.push(Message { due, payload });
@@ -121,8 +122,8 @@
         self.send(Payload::Reply(vm, target, reply));
     }
 
-    pub(super) fn give(&mut self, vm: usize, event: ZoneEvent) {
-        if !self.runs(vm) {
+    pub(super) fn handle_event(&mut self, vm: usize, event: ZoneEvent) {
+        if !self.is_running(vm) {
             return;
         }
         let node = &mut self.vms[vm];
@@ -130,11 +131,11 @@
         let from =
             VmIncarnation { vm: node.name.clone(), incarnation: Incarnation(node.incarnation) };
         for action in actions {
-            self.act(vm, &from, action);
+            self.perform(vm, &from, action);
         }
     }
 
-    fn act(&mut self, vm: usize, from: &VmIncarnation, action: ZoneAction) {
+    fn perform(&mut self, vm: usize, from: &VmIncarnation, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
                 let target = self.target_of(order.target);
--- a/crates/nickellead_lease/tests/simulation/fake_platform.rs
+++ b/crates/nickellead_lease/tests/simulation/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform as the decision code sees it: conditional writes and reads.
+//! Fake platform with conditional writes and reads.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
     MandateObject, PlacementObject, ReadOutcome, WriteOutcome, ZoneAction, ZoneEvent,
 };
 
-/// Objects with versions, and ways to fail.
+/// Versioned objects with injectable failures.
 #[derive(Clone, Debug, Default)]
 pub struct FakePlatform {
     pub down: bool,
-    /// Calls for placements fail, and those for the mandate do not.
+    /// Calls for placements fail; calls for the mandate succeed.
     pub placements_down: bool,
-    /// Writes take effect and their answers are lost.
-    pub lose_answers: bool,
+    /// Writes take effect, but their outcome is [`WriteOutcome::Failed`].
+    pub lose_responses: bool,
     pub mandate: Option<(MandateObject, Version)>,
     pub placements: BTreeMap<Name, (PlacementObject, Version)>,
     pub calls: u64,
@@ -22,61 +22,66 @@
 }
 
 impl FakePlatform {
-    /// Carries out a call and returns the event that answers it.
+    /// Executes a call and returns its outcome as an event.
     pub fn call(&mut self, action: &ZoneAction, reachable: bool) -> ZoneEvent {
         self.calls += 1;
-        let works = reachable && !self.down;
-        let places = works && !self.placements_down;
+        let available = reachable && !self.down;
+        let placements_available = available && !self.placements_down;
         match action {
             ZoneAction::ReadMandate(id) => {
-                ZoneEvent::MandateRead(*id, read(works, self.mandate.as_ref()))
+                ZoneEvent::MandateRead(*id, read(available, self.mandate.as_ref()))
             }
             ZoneAction::WriteMandate(id, expected, object) => {
                 let current = self.mandate.as_ref().map(|(_, version)| *version);
-                let answer = self.write(works, current, *expected);
-                if let Some(version) = answer.1 {
+                let outcome = self.write(available, current, *expected);
+                if let Some(version) = outcome.1 {
                     self.mandate = Some((object.clone(), version));
                 }
-                ZoneEvent::MandateWritten(*id, answer.0)
-            }
-            ZoneAction::ReadPlacement(id, service, name) => {
-                ZoneEvent::PlacementRead(*id, *service, read(places, self.placements.get(name)))
+                ZoneEvent::MandateWritten(*id, outcome.0)
             }
+            ZoneAction::ReadPlacement(id, service, name) => ZoneEvent::PlacementRead(
+                *id,
+                *service,
+                read(placements_available, self.placements.get(name)),
+            ),
             ZoneAction::WritePlacement(id, service, name, expected, object) => {
                 let current = self.placements.get(name).map(|(_, version)| *version);
-                let answer = self.write(places, current, *expected);
-                if let Some(version) = answer.1 {
+                let outcome = self.write(placements_available, current, *expected);
+                if let Some(version) = outcome.1 {
                     self.placements.insert(name.clone(), (object.clone(), version));
                 }
-                ZoneEvent::PlacementWritten(*id, *service, answer.0)
+                ZoneEvent::PlacementWritten(*id, *service, outcome.0)
             }
-            other => panic!("no call of the platform: {other:?}"),
+            other => panic!("not a platform call: {other:?}"),
         }
     }
 
-    /// The answer of a write, and the new version when it took effect.
+    /// Returns the outcome of a write, and the new version if it took effect.
     fn write(
         &mut self,
-        works: bool,
+        available: bool,
         current: Option<Version>,
         expected: Version,
     ) -> (WriteOutcome, Option<Version>) {
-        if !works {
+        if !available {
             return (WriteOutcome::Failed, None);
         }
         if current.unwrap_or_default() != expected {
             return (WriteOutcome::Conflict, None);
         }
         self.version = self.version.next();
-        let answer =
-            if self.lose_answers { WriteOutcome::Failed } else { WriteOutcome::Done(self.version) };
-        (answer, Some(self.version))
+        let outcome = if self.lose_responses {
+            WriteOutcome::Failed
+        } else {
+            WriteOutcome::Done(self.version)
+        };
+        (outcome, Some(self.version))
     }
 }
 
-fn read<T: Clone>(works: bool, object: Option<&(T, Version)>) -> ReadOutcome<T> {
+fn read<T: Clone>(available: bool, object: Option<&(T, Version)>) -> ReadOutcome<T> {
     match object {
-        _ if !works => ReadOutcome::Failed,
+        _ if !available => ReadOutcome::Failed,
         Some((object, version)) => ReadOutcome::Found(object.clone(), *version),
         None => ReadOutcome::Absent,
     }
--- a/crates/nickellead_lease/tests/simulation/mod.rs
+++ b/crates/nickellead_lease/tests/simulation/mod.rs
@@ -1,9 +1,8 @@
-//! Small fakes at the interfaces of the decision code: a platform, links, clocks.
+//! Simulation of one zone with a fake platform, fake links and drifting clocks.
 //!
-//! The world holds the real `ZoneCoordinator`s of some VMs and the real
-//! `GrantGuard`s of some targets, and carries their actions as messages that a
-//! schedule may lose, delay, double or reorder. It has no model of load,
-//! processing time or bandwidth.
+//! It runs real `ZoneCoordinator`s and `GrantGuard`s, and turns their actions into messages that
+//! a schedule may lose, delay, duplicate or reorder. It does not model load, processing time or
+//! bandwidth.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic)]
 
 mod delivery;
@@ -25,12 +24,12 @@
 use nodes::drift_clock;
 pub use nodes::{TargetNode, VmNode, declare, name};
 
-/// Shards of the one service.
+/// Number of shards of the only service.
 pub const SHARDS: u32 = 4;
-/// How long a message takes when nothing disturbs it.
-const LATENCY: u64 = 1;
-/// Most messages under way; older ones are lost beyond it.
-const MESSAGES_MAX: usize = 200;
+/// Undisturbed delivery time of a message.
+const LATENCY_MS: u64 = 1;
+/// Maximum number of messages in flight; further ones displace the oldest.
+const MAX_MESSAGES: usize = 200;
 
 #[derive(Clone, Debug)]
 enum Payload {
@@ -47,7 +46,7 @@
     payload: Payload,
 }
 
-/// Everything, at one moment of global time.
+/// State of the simulation at one point of global time, in milliseconds.
 #[derive(Clone)]
 pub struct Simulation {
     pub now: u64,
@@ -57,15 +56,16 @@
     pub timings: LeaseTimings,
     config: Arc<DeclaredConfig>,
     messages: Vec<Message>,
-    /// Links that carry nothing: VM to target, and VM to VM.
-    pub cut_targets: Vec<(usize, usize)>,
-    pub cut_vms: Vec<(usize, usize)>,
-    /// VMs that can't reach the platform.
-    pub cut_platform: Vec<usize>,
-    /// VMs that the platform's list shows.
-    pub listed: Vec<usize>,
-    lives: u64,
-    last_heard: BTreeMap<usize, u64>,
+    /// Links from VMs to targets that deliver no messages.
+    pub cut_target_links: Vec<(usize, usize)>,
+    /// Links between VMs that deliver no messages.
+    pub cut_vm_links: Vec<(usize, usize)>,
+    /// VMs that cannot reach the platform.
+    pub cut_platform_links: Vec<usize>,
+    /// VMs in the platform's list.
+    pub listed_vms: Vec<usize>,
+    last_incarnation: u64,
+    last_exchanges: BTreeMap<usize, u64>,
 }
 
 impl Simulation {
@@ -78,12 +78,12 @@
             timings: LeaseTimings::default(),
             config: Arc::new(declare(targets, &[])),
             messages: Vec::new(),
-            cut_targets: Vec::new(),
-            cut_vms: Vec::new(),
-            cut_platform: Vec::new(),
-            listed: (0..vms).collect(),
-            lives: 0,
-            last_heard: BTreeMap::new(),
+            cut_target_links: Vec::new(),
+            cut_vm_links: Vec::new(),
+            cut_platform_links: Vec::new(),
+            listed_vms: (0..vms).collect(),
+            last_incarnation: 0,
+            last_exchanges: BTreeMap::new(),
         };
         for number in 0..vms {
             let node = simulation.make_vm(number);
@@ -93,16 +93,16 @@
             let node = simulation.make_target(number);
             simulation.targets.push(node);
         }
-        (0..vms).for_each(|vm| simulation.introduce(vm));
+        (0..vms).for_each(|vm| simulation.send_initial_state(vm));
         simulation
     }
 
     fn make_vm(&mut self, number: usize) -> VmNode {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let clock = drift_clock(number as u64 * 3 + 1);
         let vm = VmIncarnation {
             vm: name(&format!("vm-{number}")),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.last_incarnation),
         };
         let settings = CoordinatorSettings {
             zone: name("zone-a"),
@@ -110,7 +110,7 @@
             timings: self.timings,
             max_standbys: 2,
             max_concurrent_moves: 64,
-            seed: self.lives,
+            seed: self.last_incarnation,
         };
         VmNode {
             name: vm.vm,
@@ -118,56 +118,59 @@
             clock,
             paused: false,
             alive: true,
-            incarnation: self.lives,
+            incarnation: self.last_incarnation,
         }
     }
 
     fn make_target(&mut self, number: usize) -> TargetNode {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let target_name = name(&format!("target-{number}"));
         TargetNode {
-            guard: GrantGuard::new(TargetKey::from(&target_name), Incarnation(self.lives)),
+            guard: GrantGuard::new(
+                TargetKey::from(&target_name),
+                Incarnation(self.last_incarnation),
+            ),
             name: target_name,
             clock: drift_clock(number as u64 * 5 + 2),
             paused: false,
             alive: true,
-            incarnation: self.lives,
+            incarnation: self.last_incarnation,
             running: Vec::new(),
         }
     }
 
-    /// Tells a VM that has just started what it would read first.
-    fn introduce(&mut self, vm: usize) {
+    /// Sends a newly started VM its first declarations and VM list.
+    fn send_initial_state(&mut self, vm: usize) {
         let config = Arc::clone(&self.config);
-        self.give(vm, ZoneEvent::ConfigChanged(config));
-        self.tell_list(vm);
+        self.handle_event(vm, ZoneEvent::ConfigChanged(config));
+        self.send_vm_list(vm);
     }
 
-    pub fn tell_list(&mut self, vm: usize) {
-        let names = self.listed.iter().map(|number| self.vms[*number].name.clone()).collect();
-        self.give(vm, ZoneEvent::VmsListed(names));
+    pub fn send_vm_list(&mut self, vm: usize) {
+        let names = self.listed_vms.iter().map(|number| self.vms[*number].name.clone()).collect();
+        self.handle_event(vm, ZoneEvent::VmsListed(names));
     }
 
-    /// Takes a VM's process away; the list shows it for as long as it likes.
+    /// Ends a VM's process, and leaves the VM in the platform's list.
     pub fn kill_vm(&mut self, vm: usize) {
         self.vms[vm].alive = false;
     }
 
-    /// Starts a VM's process anew, with an empty memory.
+    /// Restarts a VM's process with empty state.
     pub fn restart_vm(&mut self, vm: usize) {
         self.vms[vm] = self.make_vm(vm);
-        if !self.listed.contains(&vm) {
-            self.listed.push(vm);
+        if !self.listed_vms.contains(&vm) {
+            self.listed_vms.push(vm);
         }
-        self.introduce(vm);
+        self.send_initial_state(vm);
     }
 
-    /// Starts a target's process anew, holding nothing.
+    /// Restarts a target's process without grants.
     pub fn restart_target(&mut self, target: usize) {
         self.targets[target] = self.make_target(target);
     }
 
-    /// Declares which targets drain or are gone.
+    /// Declares the states of targets; those that are not listed are active.
     pub fn declare(&mut self, states: &[(usize, TargetState)]) {
         let revision = self.config.revision.next();
         let mut config = declare(self.targets.len(), states);
@@ -175,74 +178,74 @@
         self.config = Arc::new(config);
         for vm in 0..self.vms.len() {
             let config = Arc::clone(&self.config);
-            self.give(vm, ZoneEvent::ConfigChanged(config));
+            self.handle_event(vm, ZoneEvent::ConfigChanged(config));
         }
     }
 
-    /// Goes on for a while, with everything that is not disturbed working.
+    /// Advances time, and ticks VMs and delivers messages every 10 ms.
     pub fn run(&mut self, millis: u64) {
-        const STEP: u64 = 10;
+        const STEP_MS: u64 = 10;
         let end = self.now + millis;
         while self.now < end {
-            self.now += STEP.min(end - self.now);
-            self.peers_meet();
-            (0..self.vms.len()).for_each(|vm| self.give(vm, ZoneEvent::Tick));
+            self.now += STEP_MS.min(end - self.now);
+            self.exchange_peer_messages();
+            (0..self.vms.len()).for_each(|vm| self.handle_event(vm, ZoneEvent::Tick));
             self.deliver_due();
             self.check();
         }
     }
 
-    /// Lets time pass with nothing delivered and nobody ticking.
+    /// Advances time without ticks or deliveries.
     pub fn stall(&mut self, millis: u64) {
         self.now += millis;
         self.check();
     }
 
-    /// One tick of one VM, whatever the time.
+    /// Ticks one VM without advancing time.
     pub fn tick(&mut self, vm: usize) {
-        self.give(vm, ZoneEvent::Tick);
+        self.handle_event(vm, ZoneEvent::Tick);
         self.check();
     }
 
     /// Delivers one message out of order.
-    pub fn deliver_one(&mut self, place: usize) {
+    pub fn deliver_one(&mut self, index: usize) {
         if self.messages.is_empty() {
             return;
         }
-        let place = place % self.messages.len();
-        let message = self.messages.remove(place);
+        let index = index % self.messages.len();
+        let message = self.messages.remove(index);
         self.deliver(message.payload);
         self.check();
     }
 
-    /// Loses one message.
-    pub fn lose_one(&mut self, place: usize) {
+    /// Drops one message.
+    pub fn lose_one(&mut self, index: usize) {
         if !self.messages.is_empty() {
-            let place = place % self.messages.len();
-            self.messages.remove(place);
+            let index = index % self.messages.len();
+            self.messages.remove(index);
         }
     }
 
-    /// Doubles one message; the copy comes later.
-    pub fn double_one(&mut self, place: usize, later: u64) {
+    /// Duplicates one message; the copy arrives after `delay` milliseconds.
+    pub fn duplicate_one(&mut self, index: usize, delay: u64) {
         if self.messages.is_empty() {
             return;
         }
-        let place = place % self.messages.len();
-        let mut copy = self.messages[place].clone();
-        copy.due = self.now + later;
+        let index = index % self.messages.len();
+        let mut copy = self.messages[index].clone();
+        copy.due = self.now + delay;
         self.messages.push(copy);
     }
 
-    /// Delays one message.
-    pub fn delay_one(&mut self, place: usize, later: u64) {
+    /// Delays one message by `delay` milliseconds.
+    pub fn delay_one(&mut self, index: usize, delay: u64) {
         if !self.messages.is_empty() {
-            let place = place % self.messages.len();
-            self.messages[place].due = self.now + later;
+            let index = index % self.messages.len();
+            self.messages[index].due = self.now + delay;
         }
     }
 
-    /// A request arrives at a target under the epoch it holds, and takes a while.
+    /// Starts a request at a target, under the epoch that the target holds.
     pub fn begin_request(&mut self, target: usize, shard: u32) {
         let node = &mut self.targets[target];
         let held = node.guard.held_grants();
@@ -254,7 +257,7 @@
         }
     }
 
-    /// The oldest request of a target has its effect now, if it may.
+    /// Finishes the oldest request of a target, with its side effect if the guard permits.
     pub fn finish_request(&mut self, target: usize) {
         let node = &mut self.targets[target];
         if node.running.is_empty() {
@@ -270,7 +273,7 @@
         }
     }
 
-    /// The targets that may run requests for a shard now, by their own clocks.
+    /// Returns the targets that may run requests for a shard, by their own clocks.
     pub fn owners(&self, shard: ShardIndex) -> Vec<usize> {
         let owns = |target: &TargetNode| {
             target.alive && target.guard.owns(shard, target.clock.read(self.now))
@@ -279,7 +282,7 @@
         numbered.filter(|(_, target)| owns(target)).map(|(number, _)| number).collect()
     }
 
-    /// The first promise: at most one owner, at every moment.
+    /// Checks the main invariant: no shard has more than one owner.
     pub fn check(&self) {
         for shard in (0..SHARDS).map(ShardIndex) {
             let owners = self.owners(shard);
@@ -287,62 +290,62 @@
         }
     }
 
-    /// Whether every shard has an owner that its coordinator serves.
+    /// Returns whether every shard has exactly one owner.
     pub fn all_owned(&self) -> bool {
         (0..SHARDS).all(|shard| self.owners(ShardIndex(shard)).len() == 1)
     }
 
-    /// The VM that coordinates, if exactly one thinks so.
+    /// Returns the coordinating VM, unless several VMs coordinate.
     pub fn leader(&self) -> Option<usize> {
         let leads = |vm: &VmNode| vm.alive && vm.coordinator.publishes();
         let mut leaders = (0..self.vms.len()).filter(|number| leads(&self.vms[*number]));
         leaders.next().filter(|_| leaders.next().is_none())
     }
 
-    /// Delays a write of a placement that is under way; tells whether there is one.
-    pub fn hold_placement_write(&mut self, later: u64) -> bool {
+    /// Delays a placement write in flight, and returns whether there is one.
+    pub fn delay_placement_write(&mut self, delay: u64) -> bool {
         let is_write = |message: &Message| {
             matches!(message.payload, Payload::Platform(_, ZoneAction::WritePlacement(..)))
         };
-        let due = self.now + later;
+        let due = self.now + delay;
         let write = self.messages.iter_mut().find(|message| is_write(message));
         write.map(|message| message.due = due).is_some()
     }
 
-    /// Delivers the answer to a placement's write, and what follows from it to targets.
-    pub fn deliver_placement_answer(&mut self) {
-        let is_answer = |message: &Message| {
+    /// Delivers the outcomes of placement writes, then the resulting orders.
+    pub fn deliver_placement_outcome(&mut self) {
+        let is_outcome = |message: &Message| {
             matches!(message.payload, Payload::Event(_, ZoneEvent::PlacementWritten(..)))
         };
         let is_order = |message: &Message| matches!(message.payload, Payload::Order(..));
-        for wanted in [&is_answer as &dyn Fn(&Message) -> bool, &is_order] {
-            while let Some(place) = self.messages.iter().position(wanted) {
-                let message = self.messages.remove(place);
+        for wanted in [&is_outcome as &dyn Fn(&Message) -> bool, &is_order] {
+            while let Some(index) = self.messages.iter().position(wanted) {
+                let message = self.messages.remove(index);
                 self.deliver(message.payload);
             }
         }
         self.check();
     }
 
-    /// Tells a VM something out of turn.
-    pub fn tell(&mut self, vm: usize, event: ZoneEvent) {
-        self.give(vm, event);
+    /// Delivers an event to a VM immediately.
+    pub fn inject_event(&mut self, vm: usize, event: ZoneEvent) {
+        self.handle_event(vm, event);
     }
 
-    /// Asks the coordinator to stop as planned.
+    /// Starts a planned stop of the coordinator.
     pub fn stop_leader(&mut self) {
         if let Some(vm) = self.leader() {
-            self.give(vm, ZoneEvent::StopRequested);
+            self.handle_event(vm, ZoneEvent::StopRequested);
         }
     }
 
-    /// Undoes every disturbance.
+    /// Undoes disturbances: restores links, resumes processes and restarts ended ones.
     pub fn heal(&mut self) {
-        self.cut_targets.clear();
-        self.cut_vms.clear();
-        self.cut_platform.clear();
+        self.cut_target_links.clear();
+        self.cut_vm_links.clear();
+        self.cut_platform_links.clear();
         self.platform.down = false;
-        self.platform.lose_answers = false;
+        self.platform.lose_responses = false;
         for vm in 0..self.vms.len() {
             self.vms[vm].paused = false;
             let stopped = matches!(
@@ -359,13 +362,13 @@
                 self.restart_target(target);
             }
         }
-        self.listed = (0..self.vms.len()).collect();
-        (0..self.vms.len()).for_each(|vm| self.tell_list(vm));
+        self.listed_vms = (0..self.vms.len()).collect();
+        (0..self.vms.len()).for_each(|vm| self.send_vm_list(vm));
     }
 
-    /// What went wrong at the end, for a failing schedule.
+    /// Describes the state of all VMs and targets, for failure messages.
     pub fn describe(&self) -> String {
-        let mut text = format!("now={} listed={:?}\n", self.now, self.listed);
+        let mut text = format!("now={} listed={:?}\n", self.now, self.listed_vms);
         for vm in &self.vms {
             let coordinator = &vm.coordinator;
             let (phase, term) = (coordinator.phase(), coordinator.term());
--- a/crates/nickellead_lease/tests/simulation/nodes.rs
+++ b/crates/nickellead_lease/tests/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The parts of the world: clocks, VMs, targets, and what is declared.
+//! Nodes of the simulation: clocks, VMs, targets, and their declarations.
 
 use nickellead_api::{
     DeclaredConfig, DeclaredService, DeclaredTarget, ServiceSpec, TargetSpec, TargetState,
@@ -10,7 +10,7 @@
     Name::new(text).unwrap()
 }
 
-/// A clock with a rate of its own.
+/// A clock with a constant rate error.
 #[derive(Clone, Copy, Debug)]
 pub struct DriftClock {
     offset: u64,
@@ -47,7 +47,7 @@
 }
 
 impl Clone for TargetNode {
-    /// A copy in which no request runs: a ticket stands for one request only.
+    /// Copies the target without its running requests, whose tickets can't be cloned.
     fn clone(&self) -> Self {
         let guard = self.guard.clone();
         Self { name: self.name.clone(), guard, running: Vec::new(), ..*self }
@@ -55,7 +55,7 @@
 }
 
 pub fn drift_clock(seed: u64) -> DriftClock {
-    // Rates differ by up to 0.9%, within the bound of 1% that the times assume.
+    // Rates differ by up to 0.9%, within the default drift bound of 1%.
     let rate_ppm = (seed * 1_237 % 9_000) as i64 - 4_500;
     DriftClock { offset: seed * 1_000, rate_ppm }
 }
--- a/crates/nickellead_lease/tests/simulation/schedule.rs
+++ b/crates/nickellead_lease/tests/simulation/schedule.rs
@@ -5,12 +5,10 @@
 
 use super::Simulation;
 
-/// VMs of a random world.
 const VMS: usize = 3;
-/// Targets of a random world.
 const TARGETS: usize = 3;
 
-/// One disturbance, or a while without any.
+/// One disturbance, or a period without any.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Run(u16),
@@ -18,7 +16,7 @@
     Tick(u8),
     Deliver(u8),
     Lose(u8),
-    Double(u8, u16),
+    Duplicate(u8, u16),
     Delay(u8, u16),
     PauseVm(u8),
     PauseTarget(u8),
@@ -31,7 +29,7 @@
     CutVms(u8, u8),
     CutPlatform(u8),
     PlatformDown(bool),
-    LoseAnswers(bool),
+    LoseResponses(bool),
     Drain(u8),
     Undrain,
     Begin(u8, u8),
@@ -54,7 +52,7 @@
             13 => Self::Tick(small),
             14 | 15 => Self::Deliver(small),
             16 => Self::Lose(small),
-            17 => Self::Double(small, long),
+            17 => Self::Duplicate(small, long),
             18 => Self::Delay(small, long),
             19 | 20 => Self::PauseVm(small),
             21 | 22 => Self::PauseTarget(small),
@@ -67,7 +65,7 @@
             30 => Self::CutVms(small, other),
             31 => Self::CutPlatform(small),
             32 | 33 => Self::PlatformDown(flag),
-            34 => Self::LoseAnswers(flag),
+            34 => Self::LoseResponses(flag),
             35 => Self::Drain(small),
             36 => Self::Undrain,
             37 => Self::Begin(small, other),
@@ -78,7 +76,7 @@
     }
 }
 
-/// A schedule: what happens, in order.
+/// A sequence of steps, which quickcheck shrinks by removing runs of steps.
 #[derive(Clone, Debug)]
 pub struct Schedule(pub Vec<Step>);
 
@@ -110,7 +108,7 @@
 }
 
 impl Schedule {
-    /// Plays the schedule in a new world; panics when an invariant breaks.
+    /// Plays the schedule in a new simulation; panics if an invariant is violated.
     pub fn play(&self) -> Simulation {
         let mut simulation = Simulation::new(VMS, TARGETS);
         for step in &self.0 {
@@ -122,7 +120,7 @@
 
 fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T) {
     match list.iter().position(|known| *known == item) {
-        Some(place) => drop(list.remove(place)),
+        Some(index) => drop(list.remove(index)),
         None => list.push(item),
     }
 }
@@ -134,10 +132,12 @@
         Step::Run(millis) => simulation.run(u64::from(millis)),
         Step::Stall(millis) => simulation.stall(u64::from(millis)),
         Step::Tick(number) => simulation.tick(vm(number)),
-        Step::Deliver(place) => simulation.deliver_one(usize::from(place)),
-        Step::Lose(place) => simulation.lose_one(usize::from(place)),
-        Step::Double(place, later) => simulation.double_one(usize::from(place), u64::from(later)),
-        Step::Delay(place, later) => simulation.delay_one(usize::from(place), u64::from(later)),
+        Step::Deliver(index) => simulation.deliver_one(usize::from(index)),
+        Step::Lose(index) => simulation.lose_one(usize::from(index)),
+        Step::Duplicate(index, delay) => {
+            simulation.duplicate_one(usize::from(index), u64::from(delay))
+        }
+        Step::Delay(index, delay) => simulation.delay_one(usize::from(index), u64::from(delay)),
         Step::PauseVm(number) => {
             let node = &mut simulation.vms[vm(number)];
             node.paused = !node.paused;
@@ -150,7 +150,7 @@
         Step::UnlistVm(number) => {
             let number = vm(number);
             if !simulation.vms[number].alive {
-                simulation.listed.retain(|listed| *listed != number);
+                simulation.listed_vms.retain(|listed| *listed != number);
             }
         }
         Step::RestartVm(number) => {
@@ -165,12 +165,12 @@
             }
         }
         Step::CutTarget(one, other) => {
-            toggle(&mut simulation.cut_targets, (vm(one), target(other)))
+            toggle(&mut simulation.cut_target_links, (vm(one), target(other)))
         }
-        Step::CutVms(one, other) => toggle(&mut simulation.cut_vms, (vm(one), vm(other))),
-        Step::CutPlatform(number) => toggle(&mut simulation.cut_platform, vm(number)),
+        Step::CutVms(one, other) => toggle(&mut simulation.cut_vm_links, (vm(one), vm(other))),
+        Step::CutPlatform(number) => toggle(&mut simulation.cut_platform_links, vm(number)),
         Step::PlatformDown(down) => simulation.platform.down = down,
-        Step::LoseAnswers(lose) => simulation.platform.lose_answers = lose,
+        Step::LoseResponses(lose) => simulation.platform.lose_responses = lose,
         Step::Drain(number) => simulation.declare(&[(target(number), TargetState::Draining)]),
         Step::Undrain => simulation.declare(&[]),
         Step::Begin(number, shard) => {
