--- a/examples/ownership/01_grant_guard.rs
+++ b/examples/ownership/01_grant_guard.rs
@@ -1,4 +1,4 @@
-//! What a target checks: a session that is extended by echo, grants, and epochs.
+//! Checks of a target's grant guard: the lease, which echoed nonces extend, grants and epochs.
 //!
 //! `cargo run --example 01_grant_guard`
 #![allow(clippy::print_stdout)]
@@ -7,13 +7,13 @@
 use nickellead_lease::{GrantGuard, RunRefusal, ShardGrant, TargetOrder};
 
 const TARGET: TargetKey = TargetKey(7);
-const LIFE: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
 fn order(sequence: u64) -> TargetOrder {
     TargetOrder {
         target: TARGET,
         term: Term(1),
-        incarnation: Some(LIFE),
+        incarnation: Some(INCARNATION),
         sequence: Sequence(sequence),
         echo: None,
         lease_ms: 2_400,
@@ -24,14 +24,14 @@
 }
 
 fn main() -> Result<(), RunRefusal> {
-    let mut guard = GrantGuard::new(TARGET, LIFE);
+    let mut guard = GrantGuard::new(TARGET, INCARNATION);
     let grant = ShardGrant { shard: ShardIndex(3), epoch: Epoch(1) };
 
-    // First contact: the answer carries a nonce, issued at 100 ms.
+    // First contact: the reply carries a nonce, issued at 100 ms.
     let contact = TargetOrder { incarnation: None, ..order(1) };
     let nonce = guard.apply(&contact, Timestamp(100)).nonce;
 
-    // The nonce comes back with the list of standing grants and a new one.
+    // The order echoes the nonce, and carries the list of standing grants and a new grant.
     let sync = TargetOrder {
         echo: Some(nonce),
         standing: Some(Vec::new()),
@@ -41,12 +41,12 @@
     guard.apply(&sync, Timestamp(150));
     println!("the session lasts until {:?}", guard.lease_until());
 
-    // A request is checked when it is admitted, and again before its effect.
+    // A request is checked on admission, and again before its side effect.
     let ticket = guard.admit(grant, Timestamp(200))?;
     guard.check_effect(&ticket, Timestamp(210))?;
     guard.finish(ticket);
 
-    // After the lease nothing runs, however the target got there.
+    // After the end of the lease, the guard refuses every request.
     println!("at 2,500 ms: {:?}", guard.admit(grant, Timestamp(2_500)));
     Ok(())
 }
