--- a/crates/nickellead_lease/src/coordinator/mandate_lease.rs
+++ b/crates/nickellead_lease/src/coordinator/mandate_lease.rs
@@ -201,19 +201,19 @@
 
     /// Resolves an unconfirmed write by the mandate that was read.
     fn resolve_unconfirmed_write(&mut self, unconfirmed: &MandateObject, now: Timestamp) {
-        let found = self.watch.object.as_ref();
-        if found == Some(unconfirmed) {
+        let current = self.watch.object.as_ref();
+        if current == Some(unconfirmed) {
             self.confirm_mandate_write(self.watch.version, now);
             return;
         }
-        let mine = found.is_some_and(|object| object.holder == self.settings.vm);
+        let mine = current.is_some_and(|object| object.holder == self.settings.vm);
         if mine || self.watch.version == self.watch.base_version {
             self.watch.must_resend = true;
             self.watch.next_due = now;
             return;
         }
         // Another VM has written since, so this conditional write can no longer take effect.
-        let term = found.map_or(self.highest_term, |object| object.term);
+        let term = current.map_or(self.highest_term, |object| object.term);
         self.highest_term = self.highest_term.max(term);
         self.step_down(term);
     }
--- a/crates/nickellead_lease/src/coordinator/records.rs
+++ b/crates/nickellead_lease/src/coordinator/records.rs
@@ -36,14 +36,14 @@
         if self.record_round.is_none() {
             self.begin_round(now);
         }
-        let gone: Vec<VmIncarnation> = match &self.record_round {
+        let ended: Vec<VmIncarnation> = match &self.record_round {
             Some(round) => {
-                round.unacknowledged.iter().filter(|vm| self.is_gone(vm)).cloned().collect()
+                round.unacknowledged.iter().filter(|vm| self.has_ended(vm)).cloned().collect()
             }
             None => return,
         };
         let Some(round) = &mut self.record_round else { return };
-        round.unacknowledged.retain(|vm| !gone.contains(vm));
+        round.unacknowledged.retain(|vm| !ended.contains(vm));
         if now >= round.next_send {
             round.next_send = now + RECORD_RETRY_INTERVAL;
             for vm in &round.unacknowledged {
--- a/crates/nickellead_lease/src/coordinator/succession.rs
+++ b/crates/nickellead_lease/src/coordinator/succession.rs
@@ -31,11 +31,11 @@
         if !unrenewed || !unannounced {
             return None;
         }
-        let gone = self.is_gone(&object.holder);
+        let ended = self.has_ended(&object.holder);
         let records_known = object.standbys.contains(&self.settings.vm);
-        let all_gone = gone && object.standbys.iter().all(|standby| self.is_gone(standby));
-        (records_known || all_gone).then(|| Predecessor {
-            stopped_at: gone.then_some(now),
+        let all_ended = ended && object.standbys.iter().all(|standby| self.has_ended(standby));
+        (records_known || all_ended).then(|| Predecessor {
+            stopped_at: ended.then_some(now),
             records_known,
             holder: Some(object.holder.clone()),
             ..Predecessor::default()
@@ -57,7 +57,7 @@
             peer.is_some_and(|(known, at)| known == vm && now.since(*at) < PEER_TTL)
         };
         let eligible = |vm: &&VmIncarnation| {
-            **vm != self.settings.vm && self.is_listed(&vm.vm) && !self.is_gone(vm)
+            **vm != self.settings.vm && self.is_listed(&vm.vm) && !self.has_ended(vm)
         };
         let current = self.watch.object.iter().flat_map(|object| &object.standbys);
         let current: Vec<&VmIncarnation> = current.filter(eligible).collect();
@@ -83,7 +83,7 @@
     /// The platform listed coordinators and standbys before the mandate named them. Absence
     /// from the list, which may lag, therefore proves that the process has ended, and so does a
     /// message of the VM with another incarnation.
-    pub(super) fn is_gone(&self, vm: &VmIncarnation) -> bool {
+    pub(super) fn has_ended(&self, vm: &VmIncarnation) -> bool {
         let unlisted = self.listed_vms.as_ref().is_some_and(|listed| !listed.contains(&vm.vm));
         let peer = self.peers.get(&vm.vm);
         let restarted = peer.is_some_and(|(known, _)| known.incarnation != vm.incarnation);
--- a/crates/nickellead_lease/src/coordinator/targets.rs
+++ b/crates/nickellead_lease/src/coordinator/targets.rs
@@ -330,7 +330,7 @@
         let Some(holder) = self.predecessor.holder.clone() else {
             return;
         };
-        if self.is_gone(&holder) {
+        if self.has_ended(&holder) {
             self.predecessor.stopped_at = Some(now);
             return;
         }
--- a/crates/nickellead_lease/tests/exhaustive.rs
+++ b/crates/nickellead_lease/tests/exhaustive.rs
@@ -100,8 +100,8 @@
 
 #[test]
 fn no_short_sequence_of_disturbances_gives_a_shard_two_owners() {
-    let wanted = std::env::var("NICKELLEAD_DEPTH").ok().and_then(|text| text.parse().ok());
-    let depth: usize = wanted.unwrap_or(DEPTH);
+    let configured = std::env::var("NICKELLEAD_DEPTH").ok().and_then(|text| text.parse().ok());
+    let depth: usize = configured.unwrap_or(DEPTH);
     let mut simulation = Simulation::new(2, 2);
     simulation.run(4_000);
     assert!(simulation.all_owned(), "{}", simulation.describe());
--- a/crates/nickellead_lease/tests/rules.rs
+++ b/crates/nickellead_lease/tests/rules.rs
@@ -271,8 +271,8 @@
             _ => None,
         });
         if let Some(call) = read {
-            let answer = ReadOutcome::Found(foreign_mandate(renewal), Version(version));
-            self.handle(ZoneEvent::MandateRead(call, answer));
+            let outcome = ReadOutcome::Found(foreign_mandate(renewal), Version(version));
+            self.handle(ZoneEvent::MandateRead(call, outcome));
         }
     }
 }
@@ -301,7 +301,7 @@
 fn is_stored(actions: &[ZoneAction]) -> bool {
     actions
         .iter()
-        .any(|action| matches!(action, ZoneAction::SendRecordResponse(answer) if answer.stored))
+        .any(|action| matches!(action, ZoneAction::SendRecordResponse(response) if response.stored))
 }
 
 #[test]
--- a/crates/nickellead_lease/tests/schedules.rs
+++ b/crates/nickellead_lease/tests/schedules.rs
@@ -14,14 +14,14 @@
 const STEPS: usize = 40;
 const SEED: u64 = 20_261_202;
 
-fn wanted() -> u64 {
-    let wanted = std::env::var("NICKELLEAD_SCHEDULES").ok();
-    wanted.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
+fn schedule_count() -> u64 {
+    let configured = std::env::var("NICKELLEAD_SCHEDULES").ok();
+    configured.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
 fn quickcheck() -> QuickCheck {
     let random = Gen::from_size_and_seed(STEPS, SEED);
-    QuickCheck::new().rng(random).tests(wanted()).max_tests(wanted())
+    QuickCheck::new().rng(random).tests(schedule_count()).max_tests(schedule_count())
 }
 
 #[test]
--- a/crates/nickellead_lease/tests/simulation/delivery.rs
+++ b/crates/nickellead_lease/tests/simulation/delivery.rs
@@ -43,8 +43,8 @@
             let standbys = standbys.flat_map(|mandate| &mandate.standbys);
             let mut standbys = standbys;
             let named = standbys.any(|standby| standby.vm == self.vms[vm].name);
-            let heard = ZoneEvent::CoordinatorAnnounced(term, named);
-            self.send(Payload::Peer(other, vm, heard));
+            let announcement = ZoneEvent::CoordinatorAnnounced(term, named);
+            self.send(Payload::Peer(other, vm, announcement));
         }
     }
 
@@ -98,8 +98,8 @@
             }
             Payload::Platform(vm, action) => {
                 let reachable = !self.cut_platform_links.contains(&vm);
-                let answer = self.platform.call(&action, reachable);
-                self.send(Payload::Event(vm, answer));
+                let outcome = self.platform.call(&action, reachable);
+                self.send(Payload::Event(vm, outcome));
             }
         }
     }
@@ -146,9 +146,9 @@
                     self.send(Payload::Peer(vm, other, ZoneEvent::RecordBatchReceived(batch)));
                 }
             }
-            ZoneAction::SendRecordResponse(answer) => {
+            ZoneAction::SendRecordResponse(response) => {
                 for other in (0..self.vms.len()).filter(|other| *other != vm) {
-                    let event = ZoneEvent::RecordResponseReceived(answer.clone());
+                    let event = ZoneEvent::RecordResponseReceived(response.clone());
                     self.send(Payload::Peer(vm, other, event));
                 }
             }
--- a/crates/nickellead_lease/tests/simulation/mod.rs
+++ b/crates/nickellead_lease/tests/simulation/mod.rs
@@ -318,8 +318,8 @@
             matches!(message.payload, Payload::Event(_, ZoneEvent::PlacementWritten(..)))
         };
         let is_order = |message: &Message| matches!(message.payload, Payload::Order(..));
-        for wanted in [&is_outcome as &dyn Fn(&Message) -> bool, &is_order] {
-            while let Some(index) = self.messages.iter().position(wanted) {
+        for predicate in [&is_outcome as &dyn Fn(&Message) -> bool, &is_order] {
+            while let Some(index) = self.messages.iter().position(predicate) {
                 let message = self.messages.remove(index);
                 self.deliver(message.payload);
             }
