--- a/crates/nickellead_range/tests/holds.rs
+++ b/crates/nickellead_range/tests/holds.rs
@@ -10,7 +10,7 @@
     InheritedMap, LastOrder, LateOrderDetector, OrderOutcome, OwnerCandidate, PredecessorBounds,
     RENEWAL_GRACE, RangeController, RangeMap, RangeOrder, TargetInstance,
 };
-use simulation::{SERVICE, holder, settings};
+use simulation::{SERVICE, instance, settings};
 
 /// Between two looks of these tests.
 const LOOK: Duration = Duration::from_millis(100);
@@ -23,7 +23,7 @@
 };
 
 fn candidate(place: usize) -> OwnerCandidate {
-    OwnerCandidate { target: holder(place, 1), capacity: 1.0, max_load: None }
+    OwnerCandidate { target: instance(place, 1), capacity: 1.0, max_load: None }
 }
 
 /// A keeper with two targets, of which the second is lost at `lost` and unlisted at `unlisted`.
@@ -86,7 +86,7 @@
 }
 
 fn lost_holder() -> TargetInstance {
-    holder(1, 1)
+    instance(1, 1)
 }
 
 /// Each try to renew a lost target's grant put off when its keys were free, though none left.
--- a/crates/nickellead_range/tests/late_orders.rs
+++ b/crates/nickellead_range/tests/late_orders.rs
@@ -9,7 +9,7 @@
     InheritedMap, LastOrder, LateOrderDetector, OrderKind, OrderOutcome, OwnerCandidate,
     PredecessorBounds, RangeController, RangeOrder,
 };
-use simulation::{SERVICE, holder, settings};
+use simulation::{SERVICE, instance, settings};
 
 /// A map that nobody kept before.
 const NO_PREDECESSORS: PredecessorBounds = PredecessorBounds {
@@ -22,7 +22,7 @@
 fn settled_keeper() -> (RangeController, LateOrderDetector) {
     let mut lateness = LateOrderDetector::default();
     let candidates: Vec<OwnerCandidate> = (0..2)
-        .map(|place| OwnerCandidate { target: holder(place, 1), capacity: 1.0, max_load: None })
+        .map(|place| OwnerCandidate { target: instance(place, 1), capacity: 1.0, max_load: None })
         .collect();
     let mut keeper = RangeController::inherit(
         settings(),
@@ -92,7 +92,7 @@
                 first: place as u16,
                 last: place as u16,
                 fence: 1,
-                target: holder(place as usize, 1),
+                target: instance(place as usize, 1),
                 kind: OrderKind::Grant(None),
                 decided_at: now,
             };
--- a/crates/nickellead_range/tests/simulation/mod.rs
+++ b/crates/nickellead_range/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A small simulation: targets that hold keys, VMs that decide, a store, and disturbances.
+//! Simulation of targets that own keys, VMs that decide about them, a store, and faults.
 //!
-//! Keys come in blocks; ranges begin and end at their edges. The targets judge:
-//! whenever one takes a block, no other may hold it, and its fence must be
-//! above every fence under which another held it.
+//! Range boundaries are multiples of a block of keys. Whenever a target executes a grant of a
+//! block, no other target may own the block, and the fence must be above every fence under which
+//! another target owned it.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic)]
 
 pub mod target;
@@ -20,25 +20,25 @@
 use target::SimulatedTarget;
 use vm::SimulatedVm;
 
-/// Length of one step of the simulation, in milliseconds.
+/// Duration of one simulation step, in milliseconds.
 pub const STEP_MS: u64 = 20;
-/// Blocks of keys.
+/// Number of blocks that the key space is divided into.
 pub const BLOCKS: usize = 32;
-/// Keys of one block.
+/// Number of keys in a block.
 pub const BLOCK_KEYS: u32 = 65_536 / BLOCKS as u32;
-/// Targets of the one service.
+/// Number of targets of the service.
 const TARGETS: usize = 4;
-/// VMs that may hold the mandate.
+/// Number of VMs that may hold the mandate (leader lease).
 const VMS: usize = 2;
-/// The one service.
+/// Name of the service.
 pub const SERVICE: &str = "board";
 
-/// Between two copies of the store.
-const COPY_MS: u64 = 200;
-/// How old a copy is from which the store comes back.
+/// Interval between two backup copies of the store, in milliseconds.
+const COPY_INTERVAL_MS: u64 = 200;
+/// Range of the age of a copy at the restore, in milliseconds.
 const COPY_AGES_MS: std::ops::Range<u64> = 1_000..9_000;
 
-/// The keeper's settings in the simulation.
+/// Settings of the range controllers in the simulation.
 pub fn settings() -> ControllerSettings {
     ControllerSettings {
         lease: Duration::from_millis(4_500),
@@ -50,46 +50,46 @@
     }
 }
 
-/// What can go wrong.
+/// A kind of fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A target dies and comes back as another life.
+    /// A target crashes and restarts as a new instance.
     TargetCrash(usize),
-    /// A target can't reach the store: its entry lapses, and it works on.
+    /// A target cannot reach the store: its entry expires while it keeps running.
     TargetUnlisted(usize),
     /// No VM reaches a target.
     TargetCut(usize),
     /// One VM does not reach a target.
     LinkCut(usize, usize),
-    /// Half of the orders get no answer and are carried out seconds later.
+    /// Half of the orders get no response and are executed seconds later.
     LateOrders,
-    /// A VM loses its memory and starts anew.
+    /// A VM's process is killed and restarts without its state.
     VmKill(usize),
-    /// A VM stands still.
+    /// A VM's process is suspended.
     VmFreeze(usize),
     /// A VM does not reach the store.
     VmCut(usize),
-    /// The store answers nobody.
+    /// The store is unavailable.
     StoreDown,
-    /// Writes are done, and their answers are lost.
-    AnswersLost,
-    /// Writes are done seconds later, if their condition still holds.
+    /// The store applies writes, and half of the responses are lost.
+    ResponsesLost,
+    /// The store applies half of the writes seconds later, if their condition still holds.
     WritesLate,
-    /// The store answers nobody and then comes back from a copy that is some seconds old.
-    StoreOlder,
+    /// The store is unavailable and then restored from a copy that is some seconds old.
+    StoreRestored,
 }
 
-/// An order on its way.
+/// An order in flight.
 struct SentOrder {
     vm: usize,
     incarnation: u64,
     order: RangeOrder,
     arrives: u64,
-    /// Whether the VM hears of it; else it has counted the order as unanswered.
-    heard: bool,
+    /// Whether the VM receives the response; if not, it has counted the order as unanswered.
+    is_answered: bool,
 }
 
-/// The store: two documents with conditional writes.
+/// A store of two objects with conditional writes.
 #[derive(Clone, Default)]
 pub struct SimulatedStore {
     pub era: StoreEra,
@@ -98,15 +98,15 @@
     pub mandate: Option<Stored<MandateRecord>>,
 }
 
-/// A write that the store does late.
+/// A write that the store applies late.
 enum LateWrite {
     Map(Option<Revision>, RangeMap),
     Mandate(Option<Revision>, MandateRecord),
 }
 
 impl SimulatedStore {
-    /// This copy as the store of a new era: its objects keep the numbers of their revisions.
-    fn brought_back(mut self, era: StoreEra) -> Self {
+    /// Restores this copy as the store of a new era; objects keep their revision numbers.
+    fn restored(mut self, era: StoreEra) -> Self {
         let in_era = |revision: Revision| Revision { era, ..revision };
         self.era = era;
         self.map = self.map.map(|map| Stored { revision: in_era(map.revision), ..map });
@@ -114,7 +114,7 @@
         self
     }
 
-    /// Writes the map if its revision is the expected one.
+    /// Writes the map if it has the expected revision.
     pub fn write_map(&mut self, expected: Option<Revision>, map: &RangeMap) -> Option<Revision> {
         if !has_revision(self.map.as_ref(), expected) {
             return None;
@@ -125,7 +125,7 @@
         Some(revision)
     }
 
-    /// Writes the mandate if its revision is the expected one.
+    /// Writes the mandate if it has the expected revision.
     pub fn write_mandate(
         &mut self,
         expected: Option<Revision>,
@@ -141,13 +141,15 @@
     }
 }
 
-/// Whether an object has the revision that a write expects. The store knows numbers only: it can't tell one that
-/// it lost from the one that it gave in its place.
+/// Whether an object has the revision that a write expects.
+///
+/// The store compares numbers only, so it cannot distinguish a lost revision from the one that was
+/// assigned the same number after the restore.
 fn has_revision<T>(stored: Option<&Stored<T>>, expected: Option<Revision>) -> bool {
     stored.map(|stored| stored.revision.number) == expected.map(|expected| expected.number)
 }
 
-/// Everything.
+/// State of the whole simulation.
 pub struct Simulation {
     pub now: u64,
     pub rng: fastrand::Rng,
@@ -157,20 +159,20 @@
     faults: Vec<(Fault, u64)>,
     sent: Vec<SentOrder>,
     late_writes: Vec<(u64, LateWrite)>,
-    /// What the store held, and when.
+    /// Backup copies of the store with their times.
     copies: VecDeque<(u64, SimulatedStore)>,
-    next_life: u64,
-    /// Whether VMs start moves of their own accord.
+    next_incarnation: u64,
+    /// Whether VMs start random moves.
     pub moves: bool,
-    /// Grants carried out, so that a run that does nothing is noticed.
+    /// Number of executed grants; guards against runs without any effect.
     pub grants: u64,
 }
 
 impl Simulation {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let targets = (0..TARGETS).map(|place| SimulatedTarget::new(place, &mut rng)).collect();
-        let vms = (0..VMS).map(|place| SimulatedVm::new(place, 1 + place as u64)).collect();
+        let targets = (0..TARGETS).map(|index| SimulatedTarget::new(index, &mut rng)).collect();
+        let vms = (0..VMS).map(|index| SimulatedVm::new(index, 1 + index as u64)).collect();
         Self {
             now: 1_000,
             rng,
@@ -181,7 +183,7 @@
             sent: Vec::new(),
             late_writes: Vec::new(),
             copies: VecDeque::new(),
-            next_life: 1_000,
+            next_incarnation: 1_000,
             moves: true,
             grants: 0,
         }
@@ -191,70 +193,69 @@
         Timestamp(self.now)
     }
 
-    /// Whether a fault goes on.
+    /// Whether a fault is active.
     pub fn has(&self, fault: Fault) -> bool {
         self.faults.iter().any(|(one, _)| *one == fault)
     }
 
-    /// Starts a fault for a while.
-    pub fn start(&mut self, fault: Fault, length_ms: u64) {
+    pub fn start(&mut self, fault: Fault, duration_ms: u64) {
         if std::env::var_os("TRACE").is_some() {
-            eprintln!("{} {fault:?} for {length_ms}", self.now);
+            eprintln!("{} {fault:?} for {duration_ms}", self.now);
         }
         match fault {
-            Fault::TargetCrash(place) => {
-                self.next_life += 1;
-                let back = self.now + length_ms;
-                self.targets[place].crash(self.next_life, back);
+            Fault::TargetCrash(index) => {
+                self.next_incarnation += 1;
+                let back = self.now + duration_ms;
+                self.targets[index].crash(self.next_incarnation, back);
             }
-            Fault::VmKill(place) => {
-                self.next_life += 1;
-                let back = self.now + length_ms;
-                self.vms[place] = SimulatedVm::new(place, self.next_life);
-                self.vms[place].stands_until = back;
+            Fault::VmKill(index) => {
+                self.next_incarnation += 1;
+                let back = self.now + duration_ms;
+                self.vms[index] = SimulatedVm::new(index, self.next_incarnation);
+                self.vms[index].suspended_until = back;
             }
-            Fault::VmFreeze(place) => self.vms[place].stands_until = self.now + length_ms,
-            _ => self.faults.push((fault, self.now + length_ms)),
+            Fault::VmFreeze(index) => self.vms[index].suspended_until = self.now + duration_ms,
+            _ => self.faults.push((fault, self.now + duration_ms)),
         }
     }
 
     /// The targets that the store lists now.
     pub fn listed(&self) -> Vec<OwnerCandidate> {
-        let listed = |place: &usize| {
-            let target = &self.targets[*place];
-            // Three heartbeats without a write and the entry is gone; this simulation rounds to none.
-            target.is_up(self.now) && !self.has(Fault::TargetUnlisted(*place))
+        let listed = |index: &usize| {
+            let target = &self.targets[*index];
+            // A real entry expires after three missed heartbeats, here immediately.
+            target.is_up(self.now) && !self.has(Fault::TargetUnlisted(*index))
         };
-        let candidate = |place: usize| OwnerCandidate {
-            target: self.targets[place].holder(),
+        let candidate = |index: usize| OwnerCandidate {
+            target: self.targets[index].instance(),
             capacity: 1.0,
             max_load: None,
         };
         (0..self.targets.len()).filter(listed).map(candidate).collect()
     }
 
-    /// One step: late writes, orders that arrive, then every VM.
+    /// Runs one step: late writes first, then arriving orders, then every VM.
     pub fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        let was_lost = self.has(Fault::StoreOlder);
+        let was_restoring = self.has(Fault::StoreRestored);
         self.faults.retain(|(_, until)| *until > now);
-        self.do_late_writes();
-        if was_lost && !self.has(Fault::StoreOlder) {
-            self.come_back_older();
+        self.apply_late_writes();
+        if was_restoring && !self.has(Fault::StoreRestored) {
+            self.restore_store();
         }
-        // Before that the keys would be divided anew, and not at the edges of blocks.
-        if now.is_multiple_of(COPY_MS) && self.store.map.is_some() {
+        // A restore without a map would divide the keys again, and not at block boundaries.
+        if now.is_multiple_of(COPY_INTERVAL_MS) && self.store.map.is_some() {
             self.copies.push_back((now, self.store.clone()));
         }
         self.deliver_orders();
-        for place in 0..self.vms.len() {
-            vm::step(self, place);
+        for index in 0..self.vms.len() {
+            vm::step(self, index);
         }
     }
 
-    /// The store comes back from a copy of the last seconds, and its next era begins.
-    fn come_back_older(&mut self) {
+    /// Restores the store from a copy of the last seconds, which begins its next era.
+    fn restore_store(&mut self) {
         let copied = self.now - self.rng.u64(COPY_AGES_MS).min(self.now);
         let era = StoreEra(self.store.era.0 + 1);
         while self.copies.len() > 1 && self.copies.back().is_some_and(|(at, _)| *at > copied) {
@@ -264,20 +265,20 @@
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} era {era} of {copied}: {:?}", self.now, copy.mandate);
         }
-        self.store = copy.brought_back(era);
+        self.store = copy.restored(era);
     }
 
-    /// Tells the other VMs which map a VM has written, as far as its news reach them.
-    pub fn tell_map(&mut self, teller: usize, map: &Stored<RangeMap>) {
-        for place in 0..self.vms.len() {
-            let stands = self.vms[place].stands_until > self.now;
-            if place == teller || !stands && self.rng.u8(..10) > 0 {
-                self.vms[place].note_told(map);
+    /// Sends a written map to the other VMs; some of the updates are lost.
+    pub fn publish_map(&mut self, writer: usize, map: &Stored<RangeMap>) {
+        for index in 0..self.vms.len() {
+            let is_suspended = self.vms[index].suspended_until > self.now;
+            if index == writer || !is_suspended && self.rng.u8(..10) > 0 {
+                self.vms[index].set_known_map(map);
             }
         }
     }
 
-    fn do_late_writes(&mut self) {
+    fn apply_late_writes(&mut self) {
         let now = self.now;
         let (due, rest) =
             std::mem::take(&mut self.late_writes).into_iter().partition(|(at, _)| *at <= now);
@@ -295,7 +296,7 @@
         }
     }
 
-    /// A write of the map by a VM: its answer, or `Err` when none came.
+    /// Writes the map for a VM; `Err` if no response arrives.
     pub fn call_write_map(
         &mut self,
         vm: usize,
@@ -308,12 +309,12 @@
             self.late_writes.push((at, LateWrite::Map(expected, map.clone())));
             return Err(());
         }
-        let answer = self.store.write_map(expected, map);
-        self.lose_answer()?;
-        Ok(answer.filter(|revision| is_of_era(*revision, expected)))
+        let response = self.store.write_map(expected, map);
+        self.lose_response()?;
+        Ok(response.filter(|revision| is_of_era(*revision, expected)))
     }
 
-    /// The same for the mandate.
+    /// Writes the mandate for a VM; `Err` if no response arrives.
     pub fn call_write_mandate(
         &mut self,
         vm: usize,
@@ -326,36 +327,36 @@
             self.late_writes.push((at, LateWrite::Mandate(expected, record.clone())));
             return Err(());
         }
-        let answer = self.store.write_mandate(expected, record);
-        self.lose_answer()?;
-        Ok(answer.filter(|revision| is_of_era(*revision, expected)))
+        let response = self.store.write_mandate(expected, record);
+        self.lose_response()?;
+        Ok(response.filter(|revision| is_of_era(*revision, expected)))
     }
 
-    /// Whether a call of the store reaches it.
+    /// Whether a VM's request reaches the store.
     pub fn call_store(&self, vm: usize) -> Result<(), ()> {
-        let down = self.has(Fault::StoreDown) || self.has(Fault::StoreOlder);
+        let down = self.has(Fault::StoreDown) || self.has(Fault::StoreRestored);
         match down || self.has(Fault::VmCut(vm)) {
             true => Err(()),
             false => Ok(()),
         }
     }
 
-    fn lose_answer(&mut self) -> Result<(), ()> {
-        match self.has(Fault::AnswersLost) && self.rng.bool() {
+    fn lose_response(&mut self) -> Result<(), ()> {
+        match self.has(Fault::ResponsesLost) && self.rng.bool() {
             true => Err(()),
             false => Ok(()),
         }
     }
 
-    /// Sends an order; gives the outcome when it is known at once.
+    /// Sends an order; returns the outcome if it is known at once.
     pub fn send_order(&mut self, vm: usize, order: &RangeOrder) -> Option<OrderOutcome> {
-        let place = target::place_of(&order.target);
+        let index = target::index_of(&order.target);
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} vm {vm} sends {order:?}", self.now);
         }
-        let cut = self.has(Fault::TargetCut(place)) || self.has(Fault::LinkCut(vm, place));
-        if cut || !self.targets[place].answers(self.now) {
-            // The connection is refused or silent; what was sent is thrown away by the reset.
+        let cut = self.has(Fault::TargetCut(index)) || self.has(Fault::LinkCut(vm, index));
+        if cut || !self.targets[index].is_up(self.now) {
+            // The connection is refused or times out, and the target discards what was sent.
             let outcomes = [OrderOutcome::Unanswered, OrderOutcome::Broken, OrderOutcome::NotSent];
             return Some(outcomes[self.rng.usize(..outcomes.len())].clone());
         }
@@ -363,7 +364,13 @@
         let delay = if late { self.rng.u64(2_000..12_000) } else { self.rng.u64(1..30) };
         let incarnation = self.vms[vm].incarnation;
         let arrives = self.now + delay;
-        self.sent.push(SentOrder { vm, incarnation, order: order.clone(), arrives, heard: !late });
+        self.sent.push(SentOrder {
+            vm,
+            incarnation,
+            order: order.clone(),
+            arrives,
+            is_answered: !late,
+        });
         late.then_some(OrderOutcome::Unanswered)
     }
 
@@ -373,49 +380,50 @@
             std::mem::take(&mut self.sent).into_iter().partition(|sent| sent.arrives <= now);
         self.sent = rest;
         for sent in due {
-            let outcome = self.carry_out(&sent.order);
+            let outcome = self.execute(&sent.order);
             let vm = &mut self.vms[sent.vm];
-            if sent.heard && vm.incarnation == sent.incarnation {
+            if sent.is_answered && vm.incarnation == sent.incarnation {
                 vm.outcomes.push((sent.order, outcome));
             }
         }
     }
 
-    fn carry_out(&mut self, order: &RangeOrder) -> OrderOutcome {
-        let place = target::place_of(&order.target);
+    fn execute(&mut self, order: &RangeOrder) -> OrderOutcome {
+        let index = target::index_of(&order.target);
         if std::env::var_os("TRACE").is_some() {
             eprintln!("{} deliver {order:?}", self.now);
         }
-        let hold = settings().lease.as_millis() as u64;
-        let outcome = self.targets[place].carry_out(order, hold, self.now);
+        let lease_ms = settings().lease.as_millis() as u64;
+        let outcome = self.targets[index].execute(order, lease_ms, self.now);
         if matches!(order.kind, nickellead_range::OrderKind::Grant(_))
             && matches!(outcome, OrderOutcome::Done(_))
         {
             self.grants += 1;
-            self.judge(place, order);
+            self.check_grant(index, order);
         }
         outcome
     }
 
-    /// Panics when another target holds a block, or held it under as high a fence.
-    fn judge(&self, place: usize, order: &RangeOrder) {
+    /// Panics if another target owns a block of the order, or owned one under a fence that is not
+    /// lower.
+    fn check_grant(&self, index: usize, order: &RangeOrder) {
         for block in target::blocks(order) {
             for (other, target) in self.targets.iter().enumerate() {
-                if other == place {
+                if other == index {
                     continue;
                 }
-                if let Some(fence) = target.holds(block, self.now) {
+                if let Some(fence) = target.owned_fence(block, self.now) {
                     panic!(
-                        "at {}: target {place} took block {block} with fence {}, target {other} \
+                        "at {}: target {index} took block {block} with fence {}, target {other} \
                          holds it with {fence}",
                         self.now, order.fence
                     );
                 }
-                let held = target.highest_held(block);
+                let highest = target.highest_fence(block);
                 assert!(
-                    order.fence > held,
-                    "at {}: target {place} took block {block} with fence {}, target {other} had \
-                     it with {held}",
+                    order.fence > highest,
+                    "at {}: target {index} took block {block} with fence {}, target {other} had \
+                     it with {highest}",
                     self.now,
                     order.fence
                 );
@@ -423,27 +431,32 @@
         }
     }
 
-    /// What the VMs and the store believe, for a failed run.
+    /// State of the VMs and the store, for the message of a failed run.
     pub fn describe(&self) -> String {
         let vms: Vec<String> = self.vms.iter().map(|vm| vm.describe(self.time())).collect();
         format!("{}\nstore: {:?}", vms.join("\n"), self.store.map)
     }
 
-    /// Blocks that some target holds now.
+    /// Number of blocks that have an owner now.
     pub fn owned_blocks(&self) -> usize {
-        let held = |block: &usize| {
-            self.targets.iter().any(|target| target.holds(*block, self.now).is_some())
+        let is_owned = |block: &usize| {
+            self.targets.iter().any(|target| target.owned_fence(*block, self.now).is_some())
         };
-        (0..BLOCKS).filter(held).count()
+        (0..BLOCKS).filter(is_owned).count()
     }
 }
 
-/// Whether a write was done in the era that it expected: one that fits by chance counts as refused.
+/// Whether a write was applied in the era that it expected; a revision number that matches by chance
+/// counts as a refusal.
 fn is_of_era(revision: Revision, expected: Option<Revision>) -> bool {
     expected.is_none_or(|expected| expected.era == revision.era)
 }
 
-/// The identity of one life of a target.
-pub fn holder(place: usize, life: u64) -> TargetInstance {
-    TargetInstance { id: format!("target-{place}-{life}"), born: None, address: format!("{place}") }
+/// One instance of the target at `index`; instances do not share identities.
+pub fn instance(index: usize, incarnation: u64) -> TargetInstance {
+    TargetInstance {
+        id: format!("target-{index}-{incarnation}"),
+        born: None,
+        address: format!("{index}"),
+    }
 }
