--- a/crates/nickellead_range/tests/mandate.rs
+++ b/crates/nickellead_range/tests/mandate.rs
@@ -1,4 +1,4 @@
-//! Who may take the mandate after an outage of the store, and what it then reckons with.
+//! Takeover of the mandate (leader lease) after outages of the store, and bounds on predecessors.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 use std::time::Duration;
@@ -29,12 +29,12 @@
     MandateState::new(vm.to_owned(), address, 2, Duration::ZERO)
 }
 
-/// A standby that saw the mandate renewed, and has seen it as it is at 1,000 ms.
+/// A standby that saw the mandate renewed to its current version at 1,000 ms.
 fn standby(seen: Stored<MandateRecord>) -> MandateState {
     standby_since(seen, Timestamp(1_000), MANDATE_RENEWAL_INTERVAL)
 }
 
-/// The same, `gap` after the renewal before.
+/// A standby that saw the current version at `since` and the previous one `gap` before.
 fn standby_since(seen: Stored<MandateRecord>, since: Timestamp, gap: Duration) -> MandateState {
     let mut mandate = started("vm-2");
     let renewals = seen.value.renewals - 1;
@@ -52,63 +52,66 @@
 }
 
 #[test]
-fn after_an_outage_the_last_holder_goes_first() {
+fn after_an_outage_the_last_holder_takes_precedence() {
     let mut mandate = standby(record("vm-1", false));
-    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
-    assert!(mandate.due_write(ran_out).is_some(), "without an outage it is free at once");
-    let away = Timestamp(9_000);
-    mandate.observe_store_failure(away);
-    assert!(mandate.due_write(away + Duration::from_millis(100)).is_none());
-    assert!(mandate.due_write(away + POST_OUTAGE_TAKEOVER_DELAY).is_some());
+    let expired = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
+    assert!(mandate.due_write(expired).is_some(), "without an outage it may be taken at once");
+    let failure = Timestamp(9_000);
+    mandate.observe_store_failure(failure);
+    assert!(mandate.due_write(failure + Duration::from_millis(100)).is_none());
+    assert!(mandate.due_write(failure + POST_OUTAGE_TAKEOVER_DELAY).is_some());
 }
 
-/// A standby that looked a second before the store's return and then again took the mandate from a
-/// holder that was about to try.
+/// Guards against a standby whose last failed request precedes the store's recovery by more than the
+/// takeover delay, and which then takes the mandate before its holder retries.
 #[test]
-fn precedence_counts_from_the_return_of_the_store() {
+fn precedence_counts_from_the_recovery_of_the_store() {
     let mut mandate = standby(record("vm-1", false));
     mandate.observe_store_failure(Timestamp(9_000));
-    let returned = Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY * 2;
-    mandate.observe_store_response(returned);
-    assert!(mandate.due_write(returned).is_none());
-    let later = returned + POST_OUTAGE_TAKEOVER_DELAY;
+    let recovered = Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY * 2;
+    mandate.observe_store_response(recovered);
+    assert!(mandate.due_write(recovered).is_none());
+    let later = recovered + POST_OUTAGE_TAKEOVER_DELAY;
     mandate.observe_store_response(later);
-    assert!(mandate.due_write(later).is_some(), "it counts from the first answer");
+    assert!(mandate.due_write(later).is_some(), "the delay counts from the first response");
 }
 
 #[test]
-fn a_successor_reckons_with_late_orders_that_could_not_be_written_down() {
+fn a_successor_allows_for_late_orders_that_could_not_be_recorded() {
     let mut mandate = standby(record("vm-1", false));
     mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
     assert!(mandate.predecessors().late_orders_unknown);
 }
 
-/// A successor that took over after a long outage let lost targets' keys wait as if the last holder
-/// could go on renewing from then on.
+/// Guards against a successor that, after a long outage, waits as if the grace time of the last
+/// holder began at the takeover.
 #[test]
-fn what_a_holder_may_still_renew_ends_with_its_power() {
+fn renewals_of_the_last_holder_end_with_its_authority() {
     let mut mandate = standby(record("vm-1", false));
-    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
-    take(&mut mandate, ran_out);
+    let expired = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
+    take(&mut mandate, expired);
     let LastOrder::After(left) = mandate.predecessors().last_holder else {
-        panic!("its grace goes on")
+        panic!("its grace time has not ended")
     };
     assert!(left >= RENEWAL_GRACE && left < RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN, "{left:?}");
     let mut mandate = standby(record("vm-1", false));
     mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
-    let passed = Duration::from_millis(8_000) + POST_OUTAGE_TAKEOVER_DELAY;
-    let LastOrder::Before(over) = mandate.predecessors().last_holder else {
-        panic!("its grace is over")
+    let elapsed = Duration::from_millis(8_000) + POST_OUTAGE_TAKEOVER_DELAY;
+    let LastOrder::Before(since_end) = mandate.predecessors().last_holder else {
+        panic!("its grace time has ended")
     };
-    assert!(over <= passed - MANDATE_TTL - RENEWAL_GRACE, "{over:?}");
-    assert!(over >= passed - (MANDATE_TTL + RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN * 2), "{over:?}");
+    assert!(since_end <= elapsed - MANDATE_TTL - RENEWAL_GRACE, "{since_end:?}");
+    assert!(
+        since_end >= elapsed - (MANDATE_TTL + RENEWAL_GRACE + MANDATE_EXPIRY_MARGIN * 2),
+        "{since_end:?}"
+    );
 }
 
-/// A keeper made anew, while the mandate is still held, follows on orders of this very VM.
+/// Guards against a new controller under the same mandate ignoring the orders of the previous one.
 #[test]
-fn a_second_keeper_reckons_with_the_orders_of_the_first() {
+fn a_second_controller_allows_for_the_orders_of_the_first() {
     let mut mandate = standby(record("vm-1", false));
     mandate.observe_store_failure(Timestamp(9_000));
     take(&mut mandate, Timestamp(9_000) + POST_OUTAGE_TAKEOVER_DELAY);
@@ -118,10 +121,10 @@
 }
 
 #[test]
-fn without_an_outage_or_after_a_hand_over_it_does_not() {
-    let ran_out = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
+fn a_successor_expects_no_late_orders_without_an_outage_or_after_a_handover() {
+    let expired = Timestamp(1_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     let mut mandate = standby(record("vm-1", false));
-    take(&mut mandate, ran_out);
+    take(&mut mandate, expired);
     assert!(!mandate.predecessors().late_orders_unknown);
     let mut mandate = standby(record("vm-1", true));
     mandate.observe_store_failure(Timestamp(9_000));
@@ -129,11 +132,10 @@
     assert!(!mandate.predecessors().late_orders_unknown);
 }
 
-/// Seen in random schedules (301142, 304361): a holder met late orders while the store was away, was
-/// killed, and took its mandate again in its next life, which had seen no outage. It gave a lost
-/// target's keys on before a late order for them was carried out.
+/// Guards against a restarted VM that cannot know of an outage ignoring late orders that the last
+/// holder, possibly itself, saw but could not record.
 #[test]
-fn a_vm_that_saw_no_renewal_reckons_with_late_orders() {
+fn a_vm_that_saw_no_renewal_allows_for_late_orders() {
     for vm in ["vm-1", "vm-2"] {
         let mut mandate = started(vm);
         mandate.apply_read(Some(record("vm-1", false)), Timestamp(1_000));
@@ -142,22 +144,21 @@
     }
 }
 
-/// Seen in random schedules (311777): a holder that the store was away for alone met late orders in its
-/// grace, and then a renewal that it had sent long before was carried out. Its successor took it for
-/// one that could write all the time.
+/// Guards against a successor that takes a renewal which the store applied late as proof that the
+/// holder was able to record late orders.
 #[test]
-fn a_renewal_after_the_mandate_ran_out_may_leave_late_orders_untold() {
-    let ran_out = Timestamp(20_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
+fn a_renewal_after_the_mandate_expired_may_leave_late_orders_unrecorded() {
+    let expired = Timestamp(20_000) + MANDATE_TTL + MANDATE_EXPIRY_MARGIN;
     for (gap, unknown) in [(MANDATE_TTL, false), (MANDATE_TTL * 2, true)] {
         let mut mandate = standby_since(record("vm-1", false), Timestamp(20_000), gap);
-        take(&mut mandate, ran_out);
+        take(&mut mandate, expired);
         assert_eq!(mandate.predecessors().late_orders_unknown, unknown, "{gap:?}");
     }
 }
 
-/// A successor that is lost before it wrote that it reckons with late orders leaves this untold.
+/// Guards against ignoring late orders that a holder, lost right after its takeover, did not record.
 #[test]
-fn a_holder_that_was_lost_after_it_took_the_mandate_may_leave_late_orders_untold() {
+fn a_holder_that_was_lost_after_it_took_the_mandate_may_leave_late_orders_unrecorded() {
     let mut mandate = standby(record("vm-1", false));
     let taken = Timestamp(9_000);
     let mut next = record("vm-3", false);
