--- a/crates/nickellead_range/tests/map_changes.rs
+++ b/crates/nickellead_range/tests/map_changes.rs
@@ -1,30 +1,29 @@
-//! Changes of the map of ranges: exact on the map they were made from, refused by others.
+//! Map changes: exact on the map that they were made from, rejected on other maps.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_range::{MapChange, MapChangeError, RangeMap, RangeRecord, TargetInstance};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
-/// Services of these tests.
 const SERVICES: [&str; 3] = ["alpha", "beta", "gamma"];
 
-/// Most bytes of a message that a VM decodes: `FRAME_LIMIT` of our messages.
+/// Maximum number of bytes that a VM decodes, equal to the frame limit of messages between VMs.
 const MESSAGE_LIMIT: usize = 16 * 1024 * 1024;
 
-/// What an edit does to a service, or to its range that holds a key.
+/// Effect of an edit on a service, or on the range of the service that contains a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EditKind {
-    /// All keys of the service in one new range.
+    /// Replaces all ranges of the service by one.
     Divide,
     Remove,
     Split,
-    /// Gives the range to this target.
+    /// Assigns the range to this target.
     Move(u8),
     Settle,
-    /// Joins the range with the next one.
+    /// Merges the range with the next one.
     Merge,
 }
 
-/// One edit of a map, as the keeper makes them.
+/// An edit of a map as a controller makes it: effect, index of the service and key.
 #[derive(Clone, Debug)]
 struct MapEdit(EditKind, usize, u16);
 
@@ -42,16 +41,16 @@
 }
 
 fn record(first: u16, last: u16, fence: u64, owner: u8) -> RangeRecord {
-    let holder = TargetInstance {
+    let target = TargetInstance {
         id: format!("t{owner}"),
         born: None,
         address: format!("10.0.0.{owner}:80"),
     };
-    RangeRecord { first, last, fence, owner: Some(holder), previous: None, settled: false }
+    RangeRecord { first, last, fence, owner: Some(target), previous: None, settled: false }
 }
 
 impl MapEdit {
-    fn make(&self, map: &mut RangeMap) {
+    fn apply(&self, map: &mut RangeMap) {
         let Self(kind, service, key) = *self;
         map.edit += 1;
         map.fence += 1;
@@ -60,8 +59,8 @@
         if kind == EditKind::Divide || ranges.is_empty() {
             *ranges = vec![record(0, u16::MAX, map.fence, 0)];
         }
-        let place = ranges.iter().position(|range| range.contains(key)).unwrap();
-        let range = &mut ranges[place];
+        let index = ranges.iter().position(|range| range.contains(key)).unwrap();
+        let range = &mut ranges[index];
         match kind {
             EditKind::Remove => {
                 map.services.remove(SERVICES[service]);
@@ -69,7 +68,7 @@
             EditKind::Split if range.first < key => {
                 let upper = RangeRecord { first: key, ..range.clone() };
                 range.last = key - 1;
-                ranges.insert(place + 1, upper);
+                ranges.insert(index + 1, upper);
             }
             EditKind::Move(owner) => {
                 let previous = range.owner.take();
@@ -80,30 +79,32 @@
                 range.settled = true;
                 range.previous = None;
             }
-            EditKind::Merge if place + 1 < ranges.len() => {
-                ranges[place].last = ranges.remove(place + 1).last;
+            EditKind::Merge if index + 1 < ranges.len() => {
+                ranges[index].last = ranges.remove(index + 1).last;
             }
             _ => {}
         }
     }
 }
 
-/// A map with all services, after these edits.
+/// The map after these edits.
 fn edited(mut map: RangeMap, edits: &[MapEdit]) -> RangeMap {
-    edits.iter().for_each(|edit| edit.make(&mut map));
+    edits.iter().for_each(|edit| edit.apply(&mut map));
     map
 }
 
+/// A map with all services, after these edits.
 fn first_map(edits: &[MapEdit]) -> RangeMap {
     let all = [0, 1, 2].map(|service| MapEdit(EditKind::Divide, service, 0));
     edited(edited(RangeMap { writer: 7, ..RangeMap::default() }, &all), edits)
 }
 
-fn is_whole(map: &RangeMap) -> bool {
+fn covers_all_keys(map: &RangeMap) -> bool {
     map.services.values().all(|ranges| {
-        let joined = |pair: &[RangeRecord]| u32::from(pair[0].last) + 1 == u32::from(pair[1].first);
+        let adjacent =
+            |pair: &[RangeRecord]| u32::from(pair[0].last) + 1 == u32::from(pair[1].first);
         let ends = (ranges.first().map(|range| range.first), ranges.last().map(|range| range.last));
-        ends == (Some(0), Some(u16::MAX)) && ranges.windows(2).all(joined)
+        ends == (Some(0), Some(u16::MAX)) && ranges.windows(2).all(adjacent)
     })
 }
 
@@ -119,14 +120,14 @@
         MapChange::between(&from, &to).unwrap().apply(&from) == Ok(to)
     }
 
-    /// Only the numbers tell the two bases apart, and here they say nothing.
+    /// Guards against invalid maps when writer and edit do not reveal the wrong base.
     fn a_wrong_base_never_gives_a_map_with_gaps(
         before: Vec<MapEdit>, then: Vec<MapEdit>, other: Vec<MapEdit>
     ) -> bool {
         let from = first_map(&before);
         let change = MapChange::between(&from, &edited(from.clone(), &then)).unwrap();
         let wrong = RangeMap { writer: from.writer, edit: from.edit, ..first_map(&other) };
-        change.apply(&wrong).as_ref().map_or(true, is_whole)
+        change.apply(&wrong).as_ref().map_or(true, covers_all_keys)
     }
 
     fn another_edit_or_writer_is_refused(before: Vec<MapEdit>, then: MapEdit) -> bool {
@@ -140,22 +141,22 @@
         refused(&to) && refused(&foreign)
     }
 
-    /// What a peer sends may be anything.
-    fn foreign_bytes_never_panic(before: Vec<MapEdit>, place: usize, byte: u8) -> bool {
+    /// Guards against panics on malformed messages of peers.
+    fn malformed_bytes_never_panic(before: Vec<MapEdit>, index: usize, byte: u8) -> bool {
         let from = first_map(&before);
         let to = edited(from.clone(), &[MapEdit(EditKind::Move(1), 0, 5), MapEdit(EditKind::Split, 1, 9)]);
         let config = bincode::config::standard().with_limit::<MESSAGE_LIMIT>();
         let change = MapChange::between(&from, &to).unwrap();
         let mut bytes = bincode::encode_to_vec(change, config).unwrap();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+        let index = index % bytes.len();
+        bytes[index] = byte;
         let decoded = bincode::decode_from_slice::<MapChange, _>(&bytes, config);
-        decoded.map_or(true, |(change, _)| change.apply(&from).map_or(true, |map| is_whole(&map)))
+        decoded.map_or(true, |(change, _)| change.apply(&from).map_or(true, |map| covers_all_keys(&map)))
     }
 }
 
 #[test]
-fn a_move_tells_the_moved_range_only() {
+fn a_move_changes_the_moved_range_only() {
     let splits: Vec<MapEdit> =
         (1..180).map(|part| MapEdit(EditKind::Split, 0, part * 364)).collect();
     let from = first_map(&splits);
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn a_service_that_is_not_there_cannot_be_removed() {
+fn a_missing_service_cannot_be_removed() {
     let from = first_map(&[]);
     let change =
         MapChange::between(&from, &edited(from.clone(), &[MapEdit(EditKind::Remove, 1, 0)]))
