--- a/crates/nickellead_gateway/src/cluster_state/updates.rs
+++ b/crates/nickellead_gateway/src/cluster_state/updates.rs
@@ -42,7 +42,7 @@
 pub(crate) struct StateUpdate {
     /// The subscriber's cursor after this update.
     pub(crate) cursor: StateCursor,
-    /// The store's revision as of which the targets are known.
+    /// The store's revision as of which the declarations in the cursor are known.
     pub(crate) declarations_as_of: Revision,
     /// Whether the cursor announces declarations that are new to the subscriber. It requests them
     /// separately, so that they do not delay other updates.
@@ -66,7 +66,7 @@
 /// Changes of targets that one VM sends another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct TargetsUpdate {
-    /// The store's revision that they are as of.
+    /// The store's revision as of which the targets are known.
     pub(crate) as_of: Revision,
     /// Whether a watch of the store may start at `as_of`. It may not while entries are kept that
     /// the store no longer lists, because the watch would miss their removal.
--- a/crates/nickellead_gateway/src/relay/messages.rs
+++ b/crates/nickellead_gateway/src/relay/messages.rs
@@ -41,12 +41,12 @@
 pub(super) enum RelayResponse {
     /// Updates, possibly empty, and the time since the store last responded to the VM at the root.
     Update(Box<StateUpdate>, Duration),
-    /// Newer declarations; `None` if this VM has none yet.
+    /// Newer declarations; `None` if this VM has no newer ones.
     Declarations(Option<DeclarationsUpdate>),
     /// Another VM to poll instead.
     Redirect(SocketAddr),
     /// This VM has no fresh state itself.
     Disconnected,
-    /// The store does not respond to the VM at the root; all VMs between are connected.
+    /// The store does not respond to the VM at the root. The subscription itself works.
     StoreUnavailable,
 }
