--- a/crates/nickellead_gateway/src/control/mod.rs
+++ b/crates/nickellead_gateway/src/control/mod.rs
@@ -73,7 +73,7 @@
     /// Bounds on what all VMs together send to a cold target.
     pub(crate) cold_settings: Option<ColdSettings>,
     /// Whether availability zones may be evacuated.
-    pub(crate) follows_evacuations: bool,
+    pub(crate) evacuations_enabled: bool,
 }
 
 /// The control loop of one VM.
@@ -119,7 +119,7 @@
     metrics: ControlMetrics,
     policy: PolicySettings,
     cold_settings: Option<ColdSettings>,
-    follows_evacuations: bool,
+    evacuations_enabled: bool,
     /// Evacuated availability zones, and when others returned.
     zones: RefCell<ZoneStates>,
     /// This VM in the announcements of VMs that take requests.
@@ -174,7 +174,7 @@
             metrics: context.metrics,
             policy: context.policy,
             cold_settings: context.cold_settings,
-            follows_evacuations: context.follows_evacuations,
+            evacuations_enabled: context.evacuations_enabled,
             zones: RefCell::default(),
             vm_id,
             fleet_announcement: Cell::new(None),
@@ -194,7 +194,7 @@
             health: Rc::clone(&self.health),
             cluster_state: Rc::clone(&self.cluster),
             relay: Rc::clone(&self.relay),
-            follows_evacuations: self.follows_evacuations,
+            evacuations_enabled: self.evacuations_enabled,
         };
         follower.start();
     }
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -73,7 +73,7 @@
 /// `ports` runs on the control thread and creates the clients of the store and of orders.
 ///
 /// # Errors
-/// [`GatewayError`] if a listener or thread can't be created; no caller is served then.
+/// [`GatewayError`] if a listener or thread can't be created; the gateway serves no callers then.
 pub fn start_gateway<S, O>(
     settings: GatewaySettings,
     names: HeaderNames,
@@ -122,7 +122,7 @@
         metrics,
         policy: settings.policy,
         cold_settings: settings.cold,
-        follows_evacuations: settings.evacuation_s.is_some(),
+        evacuations_enabled: settings.evacuation_s.is_some(),
     };
     let control_thread = control::start(context, listeners.peers, stopped, ports)?;
     let pairs: [(&str, &dyn std::fmt::Display); 3] =
--- a/crates/nickellead_gateway/src/store_watch.rs
+++ b/crates/nickellead_gateway/src/store_watch.rs
@@ -16,7 +16,7 @@
 
 /// How long one watch call waits for changes; each call has a price.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
-/// Delay after a change of targets, so that one call reads several changes, on the mandate holder.
+/// Delay after a change of targets on the mandate holder, so that one call reads several changes.
 const TARGETS_DELAY: Duration = Duration::from_millis(300);
 /// The same delay on other VMs, of which many watch the store at the same time.
 const TARGETS_DELAY_NOT_LEADING: Duration = Duration::from_millis(900);
@@ -57,7 +57,7 @@
     pub(crate) cluster_state: Rc<ClusterState>,
     pub(crate) relay: Rc<UpdateRelay>,
     /// Whether evacuations of availability zones are enabled.
-    pub(crate) follows_evacuations: bool,
+    pub(crate) evacuations_enabled: bool,
 }
 
 impl<S> Clone for StoreWatcher<S> {
@@ -67,7 +67,7 @@
             health: Rc::clone(&self.health),
             cluster_state: Rc::clone(&self.cluster_state),
             relay: Rc::clone(&self.relay),
-            follows_evacuations: self.follows_evacuations,
+            evacuations_enabled: self.evacuations_enabled,
         }
     }
 }
@@ -97,7 +97,7 @@
         );
         let watcher = self.clone();
         actix_rt::spawn(async move { watcher.run(|read_all| watcher.step_ranges(read_all)).await });
-        if self.follows_evacuations {
+        if self.evacuations_enabled {
             let watcher = self.clone();
             actix_rt::spawn(async move {
                 watcher.run(|read_all| watcher.step_evacuations(read_all)).await;
