--- a/crates/nickellead_gateway/src/exchange.rs
+++ b/crates/nickellead_gateway/src/exchange.rs
@@ -69,7 +69,7 @@
 pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
     pub(crate) signals: ResponseSignals,
-    /// When the request was last sent; zero if it was not sent.
+    /// When the request was last sent; zero if no response was received.
     pub(crate) sent_at: Timestamp,
 }
 
--- a/crates/nickellead_gateway/src/port.rs
+++ b/crates/nickellead_gateway/src/port.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// No response in time: a write may have taken effect, or may still do so.
-    #[error("the store did not answer: {0}")]
+    #[error("the store did not respond: {0}")]
     NoResponse(String),
     /// The store refused the call, which had no effect.
     #[error("the store refused the call with status {0}")]
