--- a/crates/nickellead_range/src/subrange.rs
+++ b/crates/nickellead_range/src/subrange.rs
@@ -55,8 +55,9 @@
     }
     let (first, last) = (source.first, source.last);
     let whole = weighted_load(load, first, last);
-    let is_movable_key = first == last && whole <= request.max_single_key_load;
-    if whole <= request.load * MAX_WHOLE_RANGE_LOAD_RATIO || is_movable_key {
+    if whole <= request.load * MAX_WHOLE_RANGE_LOAD_RATIO
+        || (first == last && whole <= request.max_single_key_load)
+    {
         return Some((first, last));
     }
     let fits = |(start, end): &(u16, u16)| {
