--- a/crates/nickellead_range/tests/simulation/mod.rs
+++ b/crates/nickellead_range/tests/simulation/mod.rs
@@ -355,7 +355,7 @@
             eprintln!("{} vm {vm} sends {order:?}", self.now);
         }
         let cut = self.has(Fault::TargetCut(index)) || self.has(Fault::LinkCut(vm, index));
-        if cut || !self.targets[index].is_up(self.now) {
+        if cut || !self.targets[index].accepts_connections(self.now) {
             // The connection is refused or times out, and the target discards what was sent.
             let outcomes = [OrderOutcome::Unanswered, OrderOutcome::Broken, OrderOutcome::NotSent];
             return Some(outcomes[self.rng.usize(..outcomes.len())].clone());
--- a/crates/nickellead_range/tests/simulation/target.rs
+++ b/crates/nickellead_range/tests/simulation/target.rs
@@ -62,6 +62,11 @@
         now >= self.up_at
     }
 
+    /// Whether the target accepts connections.
+    pub fn accepts_connections(&self, now: u64) -> bool {
+        self.is_up(now)
+    }
+
     pub fn instance(&self) -> TargetInstance {
         instance(self.index, self.incarnation)
     }
