--- a/crates/nickellead_range/src/mandate.rs
+++ b/crates/nickellead_range/src/mandate.rs
@@ -222,7 +222,7 @@
         !self.lost && self.seen().is_some_and(|seen| seen.revision.era < self.era)
     }
 
-    /// Applies the object as read; returns whether this VM lost the mandate by it.
+    /// Applies the object as read; returns whether this VM thereby lost the mandate.
     pub fn apply_read(&mut self, read: Option<Stored<MandateRecord>>, now: Timestamp) -> bool {
         let Some(read) = read else {
             if self.seen.is_none() {
@@ -269,8 +269,8 @@
     /// Whether the writer of this version had full authority ever since the version seen before.
     ///
     /// It may not have if the mandate had expired in between, because the store may have applied
-    /// an earlier renewal late. Neither does a VM count that took the mandate from one that did not
-    /// give it back and has not renewed it yet: it may not have recorded late orders yet.
+    /// an earlier renewal late. This is also unknown of a VM that took the mandate from one that did
+    /// not give it back and has not renewed it: it may not have recorded late orders yet.
     fn has_writer_kept_authority(&self, read: &Stored<MandateRecord>, now: Timestamp) -> bool {
         let Some((before, since)) = &self.seen else { return false };
         let continues = before.value.taken == read.value.taken || before.value.vacant;
@@ -320,11 +320,13 @@
 
     /// Whether this VM may renew the mandate that it holds.
     ///
-    /// In a new era, a VM whose authority has expired lets those go first whose authority has not.
+    /// In a new era, a VM whose authority has expired waits for as long as it has been expired, so that
+    /// a later mandate holder goes first.
     fn may_renew(&self, now: Timestamp) -> bool {
-        let settled = self.seen().is_some_and(|seen| seen.value.era == self.era && !self.lost);
+        let written_in_era =
+            self.seen().is_some_and(|seen| seen.value.era == self.era && !self.lost);
         let expired_for = self.era_since.since(self.valid_until);
-        settled || now < self.valid_until || now.since(self.era_since) >= expired_for
+        written_in_era || now < self.valid_until || now.since(self.era_since) >= expired_for
     }
 
     /// Until when another VM may send renewals that took the mandate, unseen by this one, in the time
@@ -388,8 +390,8 @@
         // A VM stops sending orders when it gives the mandate back or restarts.
         let stopped = last.vacant || (last.vm == self.vm && last.incarnation != self.incarnation);
         let stopped = stopped && !restored;
-        let held = MANDATE_RENEWAL_INTERVAL * (last.renewals.saturating_sub(last.taken)) as u32;
-        let earlier_expired = held >= RENEWAL_GRACE + MANDATE_TTL && !restored;
+        let held_for = MANDATE_RENEWAL_INTERVAL * (last.renewals.saturating_sub(last.taken)) as u32;
+        let earlier_expired = held_for >= RENEWAL_GRACE + MANDATE_TTL && !restored;
         // The object was written before this VM first saw it. Authority that another VM counts from
         // the write may last longer by this VM's clock.
         let elapsed = now.since(*since);
@@ -405,7 +407,7 @@
         PredecessorBounds {
             last_holder: LastOrder::at_authority_end(last_holder, elapsed),
             earlier_holders: LastOrder::at_authority_end(earlier, elapsed),
-            late_orders_unknown: (restored || self.may_lack_late_orders(last))
+            late_orders_unknown: (restored || self.may_have_unrecorded_late_orders(last))
                 && enforced!("unknown_lateness"),
         }
     }
@@ -428,7 +430,7 @@
     ///
     /// A holder records them before it gives the mandate back. For any other holder, this VM must
     /// have seen that it was able to write; a VM that has just started cannot know of an outage.
-    fn may_lack_late_orders(&self, last: &MandateRecord) -> bool {
+    fn may_have_unrecorded_late_orders(&self, last: &MandateRecord) -> bool {
         !last.vacant && (self.store_failed_since_seen() || !self.writer_kept_authority)
     }
 
