--- a/crates/nickellead_range/tests/plans.rs
+++ b/crates/nickellead_range/tests/plans.rs
@@ -109,7 +109,7 @@
     (0..=u16::MAX).step_by(64).for_each(|key| load.record(key, 1));
     load.record(40, 4_000);
     let mut candidates = candidates(10);
-    // Target 4 is slow and has no load; target 9 is three times as fast as the average.
+    // Target 4 is slow and has no load; target 9 has three times the usual capacity.
     candidates[4].capacity = 0.5;
     candidates[9].capacity = 3.0;
     let mut owned = ranges(10);
