--- a/benches/capacity/configs.rs
+++ b/benches/capacity/configs.rs
@@ -4,7 +4,7 @@
 
 use nickellead_api::DeclaredConfig;
 use nickellead_core::Version;
-use nickellead_peer::{ConfigChange, ConfigHistory, ConfigNews, config_state, encode};
+use nickellead_peer::{ConfigChange, ConfigHistory, ConfigUpdate, config_state, encode};
 
 use crate::news::PointSink;
 use crate::routes::config;
@@ -41,9 +41,9 @@
     let applied = sink.time("config-apply", || change.apply(&old).unwrap());
     assert_eq!(applied, new);
     let mut history = ConfigHistory::default();
-    history.take_whole(Arc::new(old.clone()));
-    history.take_whole(Arc::new(new));
-    let bytes_of = |news: ConfigNews| encode(&news).unwrap().len() as f64;
+    history.apply_whole(Arc::new(old.clone()));
+    history.apply_whole(Arc::new(new));
+    let bytes_of = |news: ConfigUpdate| encode(&news).unwrap().len() as f64;
     let change = history.since(Some(config_state(&old))).unwrap();
     sink.put("config-change", "bytes", bytes_of(change));
     sink.put("config-whole", "bytes", bytes_of(history.since(None).unwrap()));
--- a/crates/nickellead_gateway/src/relay/subscribing.rs
+++ b/crates/nickellead_gateway/src/relay/subscribing.rs
@@ -150,7 +150,7 @@
             {
                 Ok(RelayResponse::Update(update, age)) => {
                     log_large_response(client.address(), client.progress());
-                    let age = age + client.progress().on_way;
+                    let age = age + client.progress().transfer_time;
                     cursor = match self.apply_update(*update, age) {
                         Ok(cursor) => cursor,
                         Err(reason) => return PollEnd::Lost(reason),
@@ -227,8 +227,8 @@
     let pairs: [(&str, &dyn std::fmt::Display); 4] = [
         ("source", &upstream),
         ("bytes", &progress.bytes),
-        ("waited_ms", &progress.waited.as_millis()),
-        ("on_way_ms", &progress.on_way.as_millis()),
+        ("waited_ms", &progress.time_to_response.as_millis()),
+        ("on_way_ms", &progress.transfer_time.as_millis()),
     ];
     log_event(EventName::NewsTaken, &pairs);
 }
@@ -238,8 +238,8 @@
         ("source", &upstream),
         ("reason", &reason.as_str()),
         ("bytes", &progress.bytes),
-        ("waited_ms", &progress.waited.as_millis()),
-        ("on_way_ms", &progress.on_way.as_millis()),
+        ("waited_ms", &progress.time_to_response.as_millis()),
+        ("on_way_ms", &progress.transfer_time.as_millis()),
     ];
     log_event(EventName::SourceLeft, &pairs);
 }
--- a/crates/nickellead_peer/src/client.rs
+++ b/crates/nickellead_peer/src/client.rs
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExchangeProgress {
     /// From the question until the answer began, or was given up.
-    pub waited: Duration,
+    pub time_to_response: Duration,
     /// From the answer's beginning until its last bytes that came.
-    pub on_way: Duration,
+    pub transfer_time: Duration,
     /// Bytes of the answer that came.
     pub bytes: usize,
 }
@@ -61,7 +61,11 @@
             address,
             path,
             connection: None,
-            progress: ExchangeProgress { waited: Duration::ZERO, on_way: Duration::ZERO, bytes: 0 },
+            progress: ExchangeProgress {
+                time_to_response: Duration::ZERO,
+                transfer_time: Duration::ZERO,
+                bytes: 0,
+            },
             messages: PhantomData,
         }
     }
@@ -90,7 +94,7 @@
             Ok(begun) => begun,
             Err(_) => Err(PeerError::Timeout),
         };
-        self.progress.waited = asked.elapsed();
+        self.progress.time_to_response = asked.elapsed();
         let answer = match begun {
             Ok(body) => self.take_answer(body).await,
             Err(error) => Err(error),
@@ -124,7 +128,7 @@
         let progress = &mut self.progress;
         let body = read_body(body, |bytes| {
             progress.bytes += bytes;
-            progress.on_way = began.elapsed();
+            progress.transfer_time = began.elapsed();
         });
         decode(&body.await?)
     }
--- a/crates/nickellead_peer/src/config_history.rs
+++ b/crates/nickellead_peer/src/config_history.rs
@@ -12,11 +12,11 @@
 
 /// Most changes kept for followers: one that lacks more was away, and is told all objects. A
 /// follower asks again as soon as it was answered, and each change costs it a digest of all objects.
-pub const CONFIG_CHANGES_KEPT: usize = 32;
+pub const MAX_CONFIG_CHANGES: usize = 32;
 
 /// What one VM tells another of the declared objects.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// The changes since a content that the other VM knows, oldest first.
     Changes(Vec<Arc<ConfigChange>>),
     /// All objects.
@@ -25,10 +25,10 @@
 
 /// Why news can't be taken; what was known stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ConfigNewsError {
+pub enum ConfigUpdateError {
     /// There are only changes, and nothing is known that they could change.
     #[error("changes of declared objects, of which none are known")]
-    NothingKnown,
+    NoBase,
     /// A change does not follow what was known or told before it.
     #[error(transparent)]
     Change(#[from] ChangeError),
@@ -68,7 +68,7 @@
     }
 
     /// Takes all objects, unless their revision is not newer; tells whether they are the newest now.
-    pub fn take_whole(&mut self, config: Arc<DeclaredConfig>) -> bool {
+    pub fn apply_whole(&mut self, config: Arc<DeclaredConfig>) -> bool {
         self.doubted = false;
         let known = self.newest.as_ref();
         if known.is_some_and(|known| config.revision <= known.config.revision) {
@@ -88,12 +88,12 @@
     /// Takes what another VM told; tells whether newer objects came of it.
     ///
     /// # Errors
-    /// [`ConfigNewsError`]; nothing is taken then, and [`ConfigHistory::state`] is none until all
+    /// [`ConfigUpdateError`]; nothing is taken then, and [`ConfigHistory::state`] is none until all
     /// objects are told.
-    pub fn take_news(&mut self, news: ConfigNews) -> Result<bool, ConfigNewsError> {
+    pub fn apply_update(&mut self, news: ConfigUpdate) -> Result<bool, ConfigUpdateError> {
         match news {
-            ConfigNews::Whole(config) => Ok(self.take_whole(config)),
-            ConfigNews::Changes(changes) => {
+            ConfigUpdate::Whole(config) => Ok(self.apply_whole(config)),
+            ConfigUpdate::Changes(changes) => {
                 let taken = self.take_changes(changes);
                 self.doubted |= taken.is_err();
                 taken
@@ -102,8 +102,8 @@
     }
 
     /// Takes changes, of which those that the known content is past are ignored.
-    fn take_changes(&mut self, changes: Vec<Arc<ConfigChange>>) -> Result<bool, ConfigNewsError> {
-        let known = self.newest.as_ref().ok_or(ConfigNewsError::NothingKnown)?;
+    fn take_changes(&mut self, changes: Vec<Arc<ConfigChange>>) -> Result<bool, ConfigUpdateError> {
+        let known = self.newest.as_ref().ok_or(ConfigUpdateError::NoBase)?;
         let version = known.state.version;
         if changes.last().is_none_or(|last| last.to.version <= version) {
             return Ok(false);
@@ -117,25 +117,25 @@
 
     /// What is new for a follower that knows this content, or none; `None` when nothing is.
     #[must_use]
-    pub fn since(&self, known: Option<DeclaredState>) -> Option<ConfigNews> {
+    pub fn since(&self, known: Option<DeclaredState>) -> Option<ConfigUpdate> {
         let newest = self.newest.as_ref()?;
         if known.is_some_and(|known| known.version >= newest.state.version) {
             return None;
         }
         let changes = known.and_then(|known| self.changes_from(known));
-        Some(changes.unwrap_or_else(|| ConfigNews::Whole(Arc::clone(&newest.config))))
+        Some(changes.unwrap_or_else(|| ConfigUpdate::Whole(Arc::clone(&newest.config))))
     }
 
-    fn changes_from(&self, known: DeclaredState) -> Option<ConfigNews> {
+    fn changes_from(&self, known: DeclaredState) -> Option<ConfigUpdate> {
         let start = self.changes.iter().position(|change| change.from == known)?;
-        Some(ConfigNews::Changes(self.changes.range(start..).cloned().collect()))
+        Some(ConfigUpdate::Changes(self.changes.range(start..).cloned().collect()))
     }
 
     fn put_newest(&mut self, new: KnownConfig) {
         let most = new.config.services.len() + new.config.targets.len();
         self.newest = Some(new);
         let mut named: usize = self.changes.iter().map(|change| change.object_count()).sum();
-        while self.changes.len() > CONFIG_CHANGES_KEPT || named > most {
+        while self.changes.len() > MAX_CONFIG_CHANGES || named > most {
             let Some(oldest) = self.changes.pop_front() else { break };
             named -= oldest.object_count();
         }
--- a/crates/nickellead_peer/src/lib.rs
+++ b/crates/nickellead_peer/src/lib.rs
@@ -15,7 +15,7 @@
 pub use client::{ExchangeProgress, PeerClient};
 pub use codec::{FRAME_LIMIT, PeerError, decode, encode};
 pub use config_change::{ConfigChange, ListChange, config_state};
-pub use config_history::{CONFIG_CHANGES_KEPT, ConfigHistory, ConfigNews, ConfigNewsError};
+pub use config_history::{ConfigHistory, ConfigUpdate, ConfigUpdateError, MAX_CONFIG_CHANGES};
 pub use content::{ChangeError, DeclaredState, digest_of};
 pub use message::{
     FollowReply, FollowRequest, KnownZone, PEER_PATH, PeerReply, PeerRequest, PeerVm,
--- a/crates/nickellead_peer/src/message.rs
+++ b/crates/nickellead_peer/src/message.rs
@@ -6,7 +6,7 @@
 use nickellead_core::{Incarnation, Name, Term, Version, ZoneKey};
 use nickellead_lease::{RecordBatch, RecordResponse, ZoneDelta};
 
-use crate::config_history::ConfigNews;
+use crate::config_history::ConfigUpdate;
 use crate::content::DeclaredState;
 
 /// Path of these messages, which ends in the version of their protocol.
@@ -61,7 +61,7 @@
     /// Whether the mandate names the asking VM as a standby.
     pub standby: bool,
     /// Newer declarations.
-    pub config: Option<ConfigNews>,
+    pub config: Option<ConfigUpdate>,
     /// Changes by zone.
     pub zones: Vec<ZoneDelta>,
 }
--- a/crates/nickellead_peer/tests/config_changes.rs
+++ b/crates/nickellead_peer/tests/config_changes.rs
@@ -6,7 +6,7 @@
 use nickellead_api::{DeclaredConfig, DeclaredService, DeclaredTarget};
 use nickellead_core::{Name, Version};
 use nickellead_peer::{
-    CONFIG_CHANGES_KEPT, ChangeError, ConfigChange, ConfigHistory, ConfigNews, ConfigNewsError,
+    ChangeError, ConfigChange, ConfigHistory, ConfigUpdate, ConfigUpdateError, MAX_CONFIG_CHANGES,
     config_state, decode, encode,
 };
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -66,13 +66,13 @@
 /// A VM that had the contents of these revisions, each whole.
 fn history(revisions: std::ops::Range<u64>) -> ConfigHistory {
     let mut history = ConfigHistory::default();
-    revisions.for_each(|revision| assert!(history.take_whole(many(revision))));
+    revisions.for_each(|revision| assert!(history.apply_whole(many(revision))));
     history
 }
 
 fn changes(history: &ConfigHistory, known: &DeclaredConfig) -> Vec<Arc<ConfigChange>> {
     let told = history.since(Some(config_state(known)));
-    let Some(ConfigNews::Changes(changes)) = told else { unreachable!("no changes: {told:?}") };
+    let Some(ConfigUpdate::Changes(changes)) = told else { unreachable!("no changes: {told:?}") };
     changes
 }
 
@@ -90,7 +90,7 @@
         let mut teller = ConfigHistory::default();
         let mut behind = ConfigHistory::default();
         contents.iter().all(|content| {
-            teller.take_whole(Arc::clone(content));
+            teller.apply_whole(Arc::clone(content));
             let mut fresh = ConfigHistory::default();
             let mut followers = vec![&mut fresh];
             if content.revision.0.is_multiple_of(3) {
@@ -98,8 +98,8 @@
             }
             followers.into_iter().all(|follower| {
                 let news = teller.since(follower.state()).unwrap();
-                let news: ConfigNews = decode(&encode(&news).unwrap()).unwrap();
-                follower.take_news(news) == Ok(true)
+                let news: ConfigUpdate = decode(&encode(&news).unwrap()).unwrap();
+                follower.apply_update(news) == Ok(true)
                     && follower.newest() == Some(content)
                     && follower.state() == Some(config_state(content))
                     && teller.since(follower.state()).is_none()
@@ -114,9 +114,9 @@
         let mut middle = ConfigHistory::default();
         let mut last = ConfigHistory::default();
         contents.iter().all(|content| {
-            teller.take_whole(Arc::clone(content));
-            middle.take_news(teller.since(middle.state()).unwrap()).unwrap();
-            last.take_news(middle.since(last.state()).unwrap()) == Ok(true)
+            teller.apply_whole(Arc::clone(content));
+            middle.apply_update(teller.since(middle.state()).unwrap()).unwrap();
+            last.apply_update(middle.since(last.state()).unwrap()) == Ok(true)
                 && last.newest() == Some(content)
         })
     }
@@ -129,20 +129,20 @@
     let right = changes(&teller, &many(1));
     let mut wrong = ConfigChange::clone(&right[1]);
     wrong.targets.set[0].spec.slots += 1;
-    let told = ConfigNews::Changes(vec![Arc::clone(&right[0]), Arc::new(wrong)]);
-    let refused = follower.take_news(told);
-    assert!(matches!(refused, Err(ConfigNewsError::Change(ChangeError::WrongResult { .. }))));
+    let told = ConfigUpdate::Changes(vec![Arc::clone(&right[0]), Arc::new(wrong)]);
+    let refused = follower.apply_update(told);
+    assert!(matches!(refused, Err(ConfigUpdateError::Change(ChangeError::WrongResult { .. }))));
     assert_eq!(follower.newest(), Some(&many(1)), "what was known stays in force");
     assert_eq!(follower.state(), None, "all objects are asked for");
-    follower.take_news(teller.since(follower.state()).unwrap()).unwrap();
+    follower.apply_update(teller.since(follower.state()).unwrap()).unwrap();
     assert_eq!(follower.newest(), Some(&many(3)));
     assert_eq!(follower.state(), Some(config_state(&many(3))));
 
     let mut other = history(0..1);
-    let refused = other.take_news(ConfigNews::Changes(right.clone()));
-    assert!(matches!(refused, Err(ConfigNewsError::Change(ChangeError::WrongBase { .. }))));
-    let refused = ConfigHistory::default().take_news(ConfigNews::Changes(right));
-    assert_eq!(refused, Err(ConfigNewsError::NothingKnown));
+    let refused = other.apply_update(ConfigUpdate::Changes(right.clone()));
+    assert!(matches!(refused, Err(ConfigUpdateError::Change(ChangeError::WrongBase { .. }))));
+    let refused = ConfigHistory::default().apply_update(ConfigUpdate::Changes(right));
+    assert_eq!(refused, Err(ConfigUpdateError::NoBase));
 }
 
 /// Two coordinators tell one VM: the later answer holds what it has learned meanwhile.
@@ -152,25 +152,25 @@
     let all = changes(&teller, &many(1));
     for known in [2, 3] {
         let mut follower = history(1..known + 1);
-        let newer = follower.take_news(ConfigNews::Changes(all.clone()));
+        let newer = follower.apply_update(ConfigUpdate::Changes(all.clone()));
         assert_eq!(newer, Ok(known < 3));
         assert_eq!(follower.newest(), Some(&many(3)));
     }
     let mut follower = history(1..4);
-    assert!(!follower.take_whole(many(2)), "an older revision came into force");
+    assert!(!follower.apply_whole(many(2)), "an older revision came into force");
 }
 
 #[test]
 fn only_so_many_changes_are_kept() {
-    let last = CONFIG_CHANGES_KEPT as u64 + 2;
+    let last = MAX_CONFIG_CHANGES as u64 + 2;
     let teller = history(1..last + 1);
-    assert!(matches!(teller.since(Some(config_state(&many(1)))), Some(ConfigNews::Whole(_))));
-    assert_eq!(changes(&teller, &many(2)).len(), CONFIG_CHANGES_KEPT);
+    assert!(matches!(teller.since(Some(config_state(&many(1)))), Some(ConfigUpdate::Whole(_))));
+    assert_eq!(changes(&teller, &many(2)).len(), MAX_CONFIG_CHANGES);
     // Changes that name more objects than there are would save nothing.
     let mut teller = history(1..2);
     let empty = DeclaredConfig { revision: Version(2), ..DeclaredConfig::default() };
-    assert!(teller.take_whole(Arc::new(empty)));
-    assert!(matches!(teller.since(Some(config_state(&many(1)))), Some(ConfigNews::Whole(_))));
+    assert!(teller.apply_whole(Arc::new(empty)));
+    assert!(matches!(teller.since(Some(config_state(&many(1)))), Some(ConfigUpdate::Whole(_))));
 }
 
 #[test]
@@ -179,7 +179,7 @@
     turned.targets.reverse();
     assert_eq!(ConfigChange::between(&many(1), &turned), None);
     let mut teller = history(1..2);
-    assert!(teller.take_whole(Arc::new(turned.clone())));
+    assert!(teller.apply_whole(Arc::new(turned.clone())));
     let told = teller.since(Some(config_state(&many(1))));
-    assert_eq!(told, Some(ConfigNews::Whole(Arc::new(turned))));
+    assert_eq!(told, Some(ConfigUpdate::Whole(Arc::new(turned))));
 }
--- a/crates/nickellead_run/src/peers/hub.rs
+++ b/crates/nickellead_run/src/peers/hub.rs
@@ -10,7 +10,7 @@
 use nickellead_core::{Name, Term, ZoneKey};
 use nickellead_lease::{RouteChange, VmIncarnation, ZoneDelta, ZoneEvent};
 use nickellead_peer::{
-    ConfigHistory, ConfigNews, ConfigNewsError, FollowReply, FollowRequest, KnownZone, PeerVm,
+    ConfigHistory, ConfigUpdate, ConfigUpdateError, FollowReply, FollowRequest, KnownZone, PeerVm,
 };
 use nickellead_platform::ListedVm;
 use nickellead_proxy::WorkerUpdate;
@@ -150,15 +150,15 @@
 
     /// Takes over declarations that the platform told, unless they are older than those known.
     pub(super) fn take_config(&self, config: Arc<DeclaredConfig>) {
-        let is_newer = self.config.borrow_mut().take_whole(Arc::clone(&config));
+        let is_newer = self.config.borrow_mut().apply_whole(Arc::clone(&config));
         if is_newer {
             self.put_in_force(config);
         }
     }
 
     /// Takes over declarations that another VM told; what does not fit is asked for whole.
-    fn take_config_news(&self, news: ConfigNews) {
-        let taken = self.config.borrow_mut().take_news(news);
+    fn take_config_news(&self, news: ConfigUpdate) {
+        let taken = self.config.borrow_mut().apply_update(news);
         match taken {
             Ok(true) => self.tell_config(),
             Ok(false) => {}
@@ -305,7 +305,7 @@
     }
 }
 
-fn log_unusable(error: &ConfigNewsError) {
+fn log_unusable(error: &ConfigUpdateError) {
     let pairs: [(&str, &dyn std::fmt::Display); 2] = [("part", &"declarations"), ("reason", error)];
     log_event(EventName::NewsUnusable, &pairs);
 }
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -94,7 +94,7 @@
             self.zones.insert(zone, KnownZone { zone, term, version });
         }
         let Some(news) = reply.config else { return false };
-        self.known.take_news(news).unwrap()
+        self.known.apply_update(news).unwrap()
     }
 }
 
