--- a/benches/speed.rs
+++ b/benches/speed.rs
@@ -46,7 +46,8 @@
 
 /// The real worker, with 131,072 shards of one target.
 fn router(target: SocketAddr) -> impl Fn(Request) -> BoxedAnswer + Clone + 'static {
-    let limits = ProxyLimits { sharers: 1, queue: 1_000, ..ProxyLimits::default() };
+    let limits =
+        ProxyLimits { workers_per_target: 1, queue_per_target: 1_000, ..ProxyLimits::default() };
     let worker = ProxyWorker::new(limits, 1, ProxyMetrics::default());
     worker.update(&WorkerUpdate::Config(Arc::new(declare(target))));
     let service = ServiceKey::from(&name("boards"));
@@ -55,7 +56,7 @@
     worker.update(&WorkerUpdate::Routes((0..SHARDS).map(change).collect()));
     move |request| {
         let worker = Rc::clone(&worker);
-        Box::pin(async move { worker.answer(request).await })
+        Box::pin(async move { worker.handle(request).await })
     }
 }
 
--- a/crates/nickellead_gateway/src/node.rs
+++ b/crates/nickellead_gateway/src/node.rs
@@ -190,18 +190,21 @@
         self.serve_state.drain();
         self.stopping.send_replace(true);
         std::thread::sleep(grace_fraction(LINGER_FRACTION));
-        while self.serve_state.open() > 0 && started.elapsed() < grace_fraction(SERVE_FRACTION) {
+        while self.serve_state.open_connections() > 0
+            && started.elapsed() < grace_fraction(SERVE_FRACTION)
+        {
             std::thread::sleep(CALLER_POLL_INTERVAL);
         }
-        let (running, waiting) = (self.serve_state.running(), self.serve_state.waiting());
+        let (running, waiting) =
+            (self.serve_state.running_requests(), self.serve_state.blocked_connections());
         self.serve_state.stop();
         let finished = join_until(self.request_thread, end);
         let pairs: [(&str, &dyn std::fmt::Display); 5] = [
             ("vm", &self.settings.vm),
             ("requests_running", &running),
             ("answers_waiting", &waiting),
-            ("requests_cut", &self.serve_state.running()),
-            ("answers_cut", &self.serve_state.waiting()),
+            ("requests_cut", &self.serve_state.running_requests()),
+            ("answers_cut", &self.serve_state.blocked_connections()),
         ];
         log_event(EventName::NodeDrained, &pairs);
         let mandate_settled = join_until(self.control_thread, end);
--- a/crates/nickellead_gateway/src/requests.rs
+++ b/crates/nickellead_gateway/src/requests.rs
@@ -101,7 +101,7 @@
 ///
 /// There is no timeout: the process exits at the end of the grace time anyway.
 async fn wait_for_responses(state: &ServeState) {
-    while state.running() + state.waiting() > 0 {
+    while state.running_requests() + state.blocked_connections() > 0 {
         tokio::time::sleep(FINISH_POLL_INTERVAL).await;
     }
 }
--- a/crates/nickellead_proxy/src/serve.rs
+++ b/crates/nickellead_proxy/src/serve.rs
@@ -72,19 +72,19 @@
 
     /// Connections that are open.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
     /// Requests under way whose callers have not left.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_requests(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
 
     /// Connections on which bytes of answers wait for room in the caller's window.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn blocked_connections(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 }
@@ -160,7 +160,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if state.open() >= connections_max {
+        if state.open_connections() >= connections_max {
             continue;
         }
         // Without it small answers wait for acknowledgements; a failure only costs time.
--- a/crates/nickellead_proxy/src/worker.rs
+++ b/crates/nickellead_proxy/src/worker.rs
@@ -42,13 +42,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyLimits {
     /// Workers that share each target: over all VMs.
-    pub sharers: u32,
+    pub workers_per_target: u32,
     /// Requests that may wait for a turn at one target.
-    pub queue: u32,
+    pub queue_per_target: u32,
     /// Requests that may wait for moves to end, over all shards.
-    pub movers: u32,
+    pub move_waiters: u32,
     /// Longest wait for a move to end.
-    pub move_wait: Duration,
+    pub move_timeout: Duration,
     /// Connections from callers.
     pub connections: usize,
 }
@@ -56,10 +56,10 @@
 impl Default for ProxyLimits {
     fn default() -> Self {
         Self {
-            sharers: 9,
-            queue: 64,
-            movers: 1_024,
-            move_wait: Duration::from_millis(1_000),
+            workers_per_target: 9,
+            queue_per_target: 64,
+            move_waiters: 1_024,
+            move_timeout: Duration::from_millis(1_000),
             connections: 4_096,
         }
     }
@@ -145,7 +145,7 @@
     }
 
     /// Answers one request of a caller.
-    pub async fn answer(&self, request: Request) -> Response<BoxBody> {
+    pub async fn handle(&self, request: Request) -> Response<BoxBody> {
         self.metrics.requests.inc();
         let _running = RunningCount::new(&self.metrics);
         match self.serve(request).await {
@@ -173,7 +173,7 @@
                 reading.await.unwrap_or(Err(ErrorKind::BodyTruncated))?
             }
         };
-        let move_deadline = deadline.or_after(self.limits.move_wait);
+        let move_deadline = deadline.or_after(self.limits.move_timeout);
         let state = CallState { call, head: request.head(), body, deadline, move_deadline };
         self.budget.borrow_mut().record_request();
         self.try_until_done(&state).await
@@ -264,7 +264,7 @@
         if let Some(choice) = self.owner_now(&state.call)? {
             return Ok(choice);
         }
-        if self.movers.get() >= self.limits.movers {
+        if self.movers.get() >= self.limits.move_waiters {
             return Err(ErrorKind::QueueFull);
         }
         self.metrics.waited.inc();
@@ -299,10 +299,10 @@
     }
 
     fn gate(&self, target: &TargetRoute) -> ConcurrencyLimiter {
-        let share = u32::from(target.connections).div_ceil(self.limits.sharers.max(1));
+        let share = u32::from(target.connections).div_ceil(self.limits.workers_per_target.max(1));
         let mut gates = self.gates.borrow_mut();
         let gate = gates.entry(target.key);
-        gate.or_insert_with(|| ConcurrencyLimiter::new(share, self.limits.queue)).clone()
+        gate.or_insert_with(|| ConcurrencyLimiter::new(share, self.limits.queue_per_target)).clone()
     }
 
     fn take_id(&self) -> u64 {
--- a/crates/nickellead_proxy/tests/exchange.rs
+++ b/crates/nickellead_proxy/tests/exchange.rs
@@ -88,7 +88,7 @@
             updates.iter().for_each(|update| worker.update(update));
             let handler = move |request| {
                 let worker = std::rc::Rc::clone(&worker);
-                async move { worker.answer(request).await }
+                async move { worker.handle(request).await }
             };
             serve_http(listener, 100, Arc::new(ServeState::default()), handler).await;
         });
--- a/crates/nickellead_run/src/requests.rs
+++ b/crates/nickellead_run/src/requests.rs
@@ -77,10 +77,10 @@
     actix_rt::spawn(updates.take_all(Rc::clone(&worker)));
     let handler = move |request| {
         let worker = Rc::clone(&worker);
-        async move { worker.answer(request).await }
+        async move { worker.handle(request).await }
     };
     serve_http(listener, limits.connections, Arc::clone(&state), handler).await;
-    while state.running() > 0 {
+    while state.running_requests() > 0 {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
     // The last answers' bytes leave before the runtime ends.
--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -149,10 +149,10 @@
     fn default() -> Self {
         let limits = ProxyLimits::default();
         Self {
-            vms: limits.sharers,
-            queue: limits.queue,
-            movers: limits.movers,
-            move_wait_ms: limits.move_wait.as_millis() as u32,
+            vms: limits.workers_per_target,
+            queue: limits.queue_per_target,
+            movers: limits.move_waiters,
+            move_wait_ms: limits.move_timeout.as_millis() as u32,
             connections: limits.connections as u32,
         }
     }
@@ -163,10 +163,10 @@
     #[must_use]
     pub fn to_limits(self, workers: u16) -> ProxyLimits {
         ProxyLimits {
-            sharers: self.vms * u32::from(workers),
-            queue: self.queue,
-            movers: self.movers,
-            move_wait: Duration::from_millis(u64::from(self.move_wait_ms)),
+            workers_per_target: self.vms * u32::from(workers),
+            queue_per_target: self.queue,
+            move_waiters: self.movers,
+            move_timeout: Duration::from_millis(u64::from(self.move_wait_ms)),
             connections: self.connections as usize,
         }
     }
