--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -124,7 +124,7 @@
     let rings = PlatformRings { coordination: to_coordination.clone(), peers: to_peers.clone() };
     let zone = settings.zone.clone();
     platform::build(settings.platform_address, zone, counter.clone(), platform_ring, rings)?;
-    let timeout = settings.lease.to_times().order_timeout;
+    let timeout = settings.lease.to_timings().order_timeout;
     orders::build(orders_ring, to_coordination.clone(), timeout)?;
     let peers = to_peers.clone();
     let rings = CoordinationRings { platform: to_platform, peers: to_peers, orders: to_orders };
@@ -253,7 +253,7 @@
     CoordinatorSettings {
         zone: settings.zone.clone(),
         vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
-        timings: settings.lease.to_times(),
+        timings: settings.lease.to_timings(),
         max_standbys: STANDBYS,
         max_concurrent_moves: MOVES,
         seed: incarnation.0,
--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -114,7 +114,7 @@
 impl LeaseSettings {
     /// The times as the state machines take them.
     #[must_use]
-    pub fn to_times(self) -> LeaseTimings {
+    pub fn to_timings(self) -> LeaseTimings {
         let length = |millis: u32| Duration::from_millis(u64::from(millis));
         LeaseTimings {
             heartbeat_interval: length(self.heartbeat_ms),
@@ -197,7 +197,7 @@
         if self.stop_limit_ms <= self.stop_linger_ms {
             return Err(FieldError::new("stop_limit_ms", "must be more than stop_linger_ms"));
         }
-        let times = self.lease.to_times();
+        let times = self.lease.to_timings();
         times
             .validate()
             .map_err(|(field, reason)| FieldError::new(format!("lease.{field}"), reason))
--- a/crates/nickellead_run/tests/settings.rs
+++ b/crates/nickellead_run/tests/settings.rs
@@ -24,7 +24,7 @@
 fn defaults_fit_each_other() {
     let read = NodeSettings::read(settings().to_string().as_bytes()).unwrap();
     assert_eq!(read.workers, 1);
-    assert!(read.lease.to_times().validate().is_ok());
+    assert!(read.lease.to_timings().validate().is_ok());
 }
 
 #[test]
