--- a/crates/nickellead_soak/src/fleet/mod.rs
+++ b/crates/nickellead_soak/src/fleet/mod.rs
@@ -206,20 +206,20 @@
 
     /// A load through all VMs for a bounded time.
     #[must_use]
-    pub fn load_settings(&self, length: Duration, seed: u64) -> LoadSettings {
-        let group = |operation: &str, method: &str, once| CallerSettings {
+    pub fn load_settings(&self, duration: Duration, seed: u64) -> LoadSettings {
+        let group = |operation: &str, method: &str, at_most_once| CallerSettings {
             service: "boards".to_owned(),
             operation: operation.to_owned(),
             method: method.to_owned(),
-            once,
+            at_most_once,
             callers: CALLERS,
             keys: KEYS,
         };
         LoadSettings {
-            entries: self.vms.iter().map(|vm| vm.callers).collect(),
+            entry_addresses: self.vms.iter().map(|vm| vm.callers).collect(),
             groups: vec![group("book", "POST", true), group("look", "GET", false)],
-            length,
-            pause: PAUSE,
+            duration,
+            think_time: PAUSE,
             seed,
         }
     }
--- a/crates/nickellead_standin/src/load.rs
+++ b/crates/nickellead_standin/src/load.rs
@@ -20,7 +20,7 @@
     /// HTTP method.
     pub method: String,
     /// Whether the operation may not be repeated.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Callers that send side by side.
     pub callers: u32,
     /// Keys that they name, by a Zipf law.
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
     /// Entry VMs, each used in turn as a balancer does.
-    pub entries: Vec<SocketAddr>,
+    pub entry_addresses: Vec<SocketAddr>,
     /// The groups of callers.
     pub groups: Vec<CallerSettings>,
     /// How long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
     /// Pause of a caller between two requests.
-    pub pause: Duration,
+    pub think_time: Duration,
     /// Seed of keys and order, and part of each operation's number.
     pub seed: u64,
 }
@@ -125,14 +125,14 @@
 ) {
     let client = awc::Client::builder().timeout(Duration::from_secs(10)).finish();
     let mut rng = fastrand::Rng::with_seed(settings.seed.wrapping_mul(31).wrapping_add(number));
-    let end = Instant::now() + settings.length;
+    let end = Instant::now() + settings.duration;
     let mut count = 0_u64;
     while Instant::now() < end {
         count += 1;
         let unique = (settings.seed << 48) | (number << 32) | count;
-        let operation = if group.once { unique } else { 0 };
-        let place = (number + count) as usize % settings.entries.len().max(1);
-        let Some(entry) = settings.entries.get(place) else {
+        let operation = if group.at_most_once { unique } else { 0 };
+        let place = (number + count) as usize % settings.entry_addresses.len().max(1);
+        let Some(entry) = settings.entry_addresses.get(place) else {
             return;
         };
         let key = zipf(group.keys, &mut rng);
@@ -140,7 +140,7 @@
         let begun = Instant::now();
         let outcome = send(&client, *entry, &group.method, &path, operation).await;
         recorder.borrow_mut().note(outcome, operation, &path, begun);
-        actix_rt::time::sleep(settings.pause).await;
+        actix_rt::time::sleep(settings.think_time).await;
     }
 }
 
--- a/crates/nickellead_trial/src/trial.rs
+++ b/crates/nickellead_trial/src/trial.rs
@@ -146,15 +146,15 @@
         service: service.name.to_owned(),
         operation: service.operation.name.to_owned(),
         method: service.operation.method.to_owned(),
-        once: service.operation.once,
+        at_most_once: service.operation.once,
         callers: CALLERS,
         keys: KEYS,
     };
     LoadSettings {
-        entries: deployment.callers.clone(),
+        entry_addresses: deployment.callers.clone(),
         groups: SERVICES.iter().map(group).collect(),
-        length: Duration::from_secs(settings.seconds),
-        pause: PAUSE,
+        duration: Duration::from_secs(settings.seconds),
+        think_time: PAUSE,
         seed: settings.seed,
     }
 }
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -159,15 +159,15 @@
             service: self.service,
             operation: self.operation,
             method: self.method,
-            once: self.once,
+            at_most_once: self.once,
             callers: self.callers,
             keys: self.keys,
         };
         let settings = LoadSettings {
-            entries: self.entry,
+            entry_addresses: self.entry,
             groups: vec![group],
-            length: Duration::from_secs(self.seconds),
-            pause: Duration::from_millis(self.pause_ms),
+            duration: Duration::from_secs(self.seconds),
+            think_time: Duration::from_millis(self.pause_ms),
             seed: 1,
         };
         let runtime = actix_rt::Runtime::new().map_err(|error| error.to_string())?;
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -338,20 +338,20 @@
 
     /// Callers that book and look for a bounded time, through these VMs.
     pub fn load(&self, seconds: u64, vms: &[usize]) -> JoinHandle<LoadReport> {
-        let entries = vms.iter().map(|vm| self.vms[*vm].callers).collect();
-        let group = |operation: &str, method: &str, once: bool| CallerSettings {
+        let entry_addresses = vms.iter().map(|vm| self.vms[*vm].callers).collect();
+        let group = |operation: &str, method: &str, at_most_once: bool| CallerSettings {
             service: "boards".to_owned(),
             operation: operation.to_owned(),
             method: method.to_owned(),
-            once,
+            at_most_once,
             callers: 8,
             keys: 400,
         };
         let settings = LoadSettings {
-            entries,
+            entry_addresses,
             groups: vec![group("book", "POST", true), group("look", "GET", false)],
-            length: Duration::from_secs(seconds),
-            pause: Duration::from_millis(4),
+            duration: Duration::from_secs(seconds),
+            think_time: Duration::from_millis(4),
             seed: LOADS.fetch_add(1, Ordering::Relaxed),
         };
         std::thread::spawn(move || actix_rt::Runtime::new().unwrap().block_on(run_load(settings)))
