--- a/crates/nickellead_standin/src/target.rs
+++ b/crates/nickellead_standin/src/target.rs
@@ -36,9 +36,9 @@
     /// Requests it runs side by side.
     pub slots: u16,
     /// Requests that may wait for a slot before it sheds.
-    pub queue: u16,
+    pub queue_capacity: u16,
     /// How long a request runs, in microseconds.
-    pub service_us: u64,
+    pub service_time_us: u64,
 }
 
 /// State that all stand-in targets of one process share: the users' own data.
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// The system's error when the file can't be opened.
-    pub fn with_file(path: &Path) -> std::io::Result<Self> {
+    pub fn with_effects_file(path: &Path) -> std::io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let tables = SharedTables { file: Some(file), ..SharedTables::default() };
         Ok(Self(Arc::new(Mutex::new(tables))))
@@ -136,7 +136,7 @@
 
     /// The shards that it may run requests for now.
     #[must_use]
-    pub fn owned(&self) -> Vec<ShardIndex> {
+    pub fn owned_shards(&self) -> Vec<ShardIndex> {
         if self.lost.load(Ordering::Relaxed) {
             return Vec::new();
         }
@@ -147,14 +147,14 @@
     }
 
     /// Says that it wants to leave.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         lock(&self.guard).announce_leaving();
     }
 
     /// Ends at once, as a machine that is taken away: every connection breaks.
     ///
     /// What it owned it owns no more: nothing of it runs.
-    pub fn lose(&self) {
+    pub fn crash(&self) {
         self.lost.store(true, Ordering::Relaxed);
         self.server.lose();
     }
@@ -221,14 +221,15 @@
         grant: ShardGrant,
         admitted: &AdmittedRequest<'_>,
     ) -> Result<TargetAnswer, &'static str> {
-        if self.slots.available_permits() == 0 && self.waiting.get() >= self.settings.queue {
+        if self.slots.available_permits() == 0 && self.waiting.get() >= self.settings.queue_capacity
+        {
             return Err("busy");
         }
         let waiting = WaitingRequest::new(&self.waiting);
         let slot = self.slots.acquire().await;
         drop(waiting);
         let _slot = slot.map_err(|_| "busy")?;
-        actix_rt::time::sleep(Duration::from_micros(self.settings.service_us)).await;
+        actix_rt::time::sleep(Duration::from_micros(self.settings.service_time_us)).await;
         admitted.check_effect()?;
         Ok(self.effect(path, operation, grant))
     }
--- a/crates/nickellead_trial/src/deployment.rs
+++ b/crates/nickellead_trial/src/deployment.rs
@@ -113,7 +113,7 @@
     /// Shards that the running targets may run requests for now, over all services.
     pub(crate) fn owned_shards(&self) -> usize {
         let running = self.targets.iter().filter_map(|target| target.running.as_ref());
-        running.map(|target| target.owned().len()).sum()
+        running.map(|target| target.owned_shards().len()).sum()
     }
 
     /// Shards of all services.
@@ -193,8 +193,8 @@
         name: target_name.clone(),
         address,
         slots: service.slots,
-        queue: TARGET_QUEUE,
-        service_us: SERVICE_US,
+        queue_capacity: TARGET_QUEUE,
+        service_time_us: SERVICE_US,
     };
     let running = StandinTarget::start(settings, shared.clone())?;
     let spec = TargetSpec {
--- a/crates/nickellead_trial/src/trial.rs
+++ b/crates/nickellead_trial/src/trial.rs
@@ -130,7 +130,7 @@
     let lost = place_of(deployment, LOST);
     progress(&format!("losing target {}-{}", LOST.0, LOST.1));
     if let Some(target) = deployment.targets[lost].running.take() {
-        target.lose();
+        target.crash();
     }
     std::thread::sleep(third);
     progress(&format!("draining target {}-{}", DRAINED.0, DRAINED.1));
@@ -219,7 +219,7 @@
 fn imbalance(deployment: &TrialDeployment) -> f64 {
     let mut groups: BTreeMap<(&str, &str), Vec<usize>> = BTreeMap::new();
     for target in &deployment.targets {
-        let owned = target.running.as_ref().map_or(0, |target| target.owned().len());
+        let owned = target.running.as_ref().map_or(0, |target| target.owned_shards().len());
         if owned > 0 {
             let group = (target.spec.service.as_str(), target.spec.zone.as_str());
             groups.entry(group).or_default().push(owned);
--- a/crates/nickellead_trial/src/watch.rs
+++ b/crates/nickellead_trial/src/watch.rs
@@ -50,7 +50,7 @@
 fn most_owners(targets: &[(String, StandinTarget)]) -> u32 {
     let mut owners: HashMap<(&str, ShardIndex), Vec<&StandinTarget>> = HashMap::new();
     for (service, target) in targets {
-        for shard in target.owned() {
+        for shard in target.owned_shards() {
             owners.entry((service, shard)).or_default().push(target);
         }
     }
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -136,11 +136,13 @@
             name: Name::new(&self.name).map_err(|error| format!("--name {error}"))?,
             address: self.listen,
             slots: self.slots,
-            queue: self.queue,
-            service_us: self.service_us,
+            queue_capacity: self.queue,
+            service_time_us: self.service_us,
         };
         let shared = match &self.effects {
-            Some(path) => SharedState::with_file(path).map_err(|error| error.to_string())?,
+            Some(path) => {
+                SharedState::with_effects_file(path).map_err(|error| error.to_string())?
+            }
             None => SharedState::default(),
         };
         let target = StandinTarget::start(settings, shared);
