--- a/crates/nickellead_soak/src/round.rs
+++ b/crates/nickellead_soak/src/round.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use nickellead_standin::{LoadReport, LoadSettings, Verdict, judge, run_load};
+use nickellead_standin::{LoadReport, LoadSettings, Verdict, evaluate_run, run_load};
 
 use crate::{Fault, FleetSize, ScheduledFault, SoakError, SoakFleet, draw_schedule};
 
@@ -55,7 +55,7 @@
     /// Whether every promise held and every key was served again.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.verdict.is_clean() && self.recovery.is_some()
+        self.verdict.has_no_violations() && self.recovery.is_some()
     }
 }
 
@@ -73,7 +73,7 @@
     let report = load.join().map_err(|_| not_reached("the load ended"))?;
     wait_until("all targets declared to stay", || fleet.declare_all())?;
     let recovery = wait_served(&fleet, number + 100);
-    let verdict = judge(&fleet.effects()?, &report);
+    let verdict = evaluate_run(&fleet.effects()?, &report);
     Ok(RoundReport {
         verdict,
         sent: report.sent,
@@ -163,8 +163,8 @@
 
 /// Looks at effects while the round goes on: one owner at a time, nothing done twice.
 fn check_so_far(fleet: &SoakFleet) -> Result<(), SoakError> {
-    let verdict = judge(&fleet.effects()?, &LoadReport::default());
-    match verdict.is_clean() {
+    let verdict = evaluate_run(&fleet.effects()?, &LoadReport::default());
+    match verdict.has_no_violations() {
         true => Ok(()),
         false => Err(not_reached(&format!("promises kept so far: {verdict:?}"))),
     }
--- a/crates/nickellead_standin/src/lib.rs
+++ b/crates/nickellead_standin/src/lib.rs
@@ -16,4 +16,4 @@
 pub use platform::{PlatformFaults, PlatformSettings, StandinPlatform};
 pub use store::{ObjectStore, StoreError};
 pub use target::{SharedState, StandinTarget, TargetSettings};
-pub use verdict::{Verdict, judge};
+pub use verdict::{Verdict, evaluate_run};
--- a/crates/nickellead_standin/src/verdict.rs
+++ b/crates/nickellead_standin/src/verdict.rs
@@ -29,7 +29,7 @@
 impl Verdict {
     /// Whether every promise held.
     #[must_use]
-    pub const fn is_clean(&self) -> bool {
+    pub const fn has_no_violations(&self) -> bool {
         self.owners_at_once_max <= 1
             && self.wrong_answers == 0
             && self.repeated_once_ops == 0
@@ -40,7 +40,7 @@
 
 /// Judges the records of one run.
 #[must_use]
-pub fn judge(effects: &[EffectRecord], report: &LoadReport) -> Verdict {
+pub fn evaluate_run(effects: &[EffectRecord], report: &LoadReport) -> Verdict {
     let mut runs: BTreeMap<u64, u64> = BTreeMap::new();
     for effect in effects.iter().filter(|effect| effect.operation > 0) {
         *runs.entry(effect.operation).or_default() += 1;
--- a/crates/nickellead_trial/src/report.rs
+++ b/crates/nickellead_trial/src/report.rs
@@ -41,7 +41,7 @@
     /// Whether every promise held.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
-        self.verdict.is_clean()
+        self.verdict.has_no_violations()
     }
 }
 
--- a/crates/nickellead_trial/src/trial.rs
+++ b/crates/nickellead_trial/src/trial.rs
@@ -6,7 +6,7 @@
 use nickellead_api::ObjectKind;
 use nickellead_lease::PlacementObject;
 use nickellead_platform::PlatformError;
-use nickellead_standin::{CallerSettings, LoadReport, LoadSettings, judge, run_load};
+use nickellead_standin::{CallerSettings, LoadReport, LoadSettings, evaluate_run, run_load};
 use thiserror::Error;
 
 use crate::deployment::TrialDeployment;
@@ -200,7 +200,7 @@
     let p99 = (unavailable.len() * 99).div_ceil(100).saturating_sub(1);
     let moves = after.0.saturating_sub(before.0);
     TrialReport {
-        verdict: judge(&deployment.shared.effects(), load),
+        verdict: evaluate_run(&deployment.shared.effects(), load),
         answered: load.answered,
         refused: load.refused,
         unknown: load.unknown,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use nickellead_standin::{
-    CallerSettings, EffectRecord, LoadReport, LoadSettings, Verdict, judge, read_effects, run_load,
+    CallerSettings, EffectRecord, LoadReport, LoadSettings, Verdict, evaluate_run, read_effects,
+    run_load,
 };
 
 use super::{Process, free_address, request, run, write_file};
@@ -395,8 +396,8 @@
 
     /// Judges a load against the targets' records; panics when a promise broke.
     pub fn judge(&self, report: &LoadReport) -> Verdict {
-        let verdict = judge(&self.effects(), report);
-        assert!(verdict.is_clean(), "{verdict:?}; callers saw {:?}", report.errors);
+        let verdict = evaluate_run(&self.effects(), report);
+        assert!(verdict.has_no_violations(), "{verdict:?}; callers saw {:?}", report.errors);
         verdict
     }
 }
