--- a/crates/nickellead_standin/src/platform.rs
+++ b/crates/nickellead_standin/src/platform.rs
@@ -174,7 +174,7 @@
                 if state.faults.down {
                     return empty(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                match state.store.changes(from) {
+                match state.store.changes_since(from) {
                     Err(error) => return refuse(error),
                     Ok(page) if !page.events.is_empty() || Instant::now() >= end => {
                         return json(StatusCode::OK, &page);
--- a/crates/nickellead_standin/src/store.rs
+++ b/crates/nickellead_standin/src/store.rs
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// [`StoreError::Compacted`] when the history does not reach back that far.
-    pub fn changes(&self, from: Version) -> Result<WatchPage, StoreError> {
+    pub fn changes_since(&self, from: Version) -> Result<WatchPage, StoreError> {
         if from < self.compacted {
             return Err(StoreError::Compacted);
         }
