--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -10,10 +10,10 @@
 use nickellead_time::BootClock;
 use tokio::sync::oneshot;
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::orders::OrderMessage;
 use crate::peers::PeerMessage;
 use crate::platform::{FollowMode, PlatformMessage};
-use crate::ring::{RingReceiver, RingSender, offer};
 use nickellead_event::{EventName, log_event};
 
 /// What reaches the coordination thread.
@@ -40,15 +40,15 @@
 }
 
 /// Rings from coordination to the other duties.
-pub(crate) struct CoordinationRings {
-    pub(crate) platform: RingSender<PlatformMessage>,
-    pub(crate) peers: RingSender<PeerMessage>,
-    pub(crate) orders: RingSender<OrderMessage>,
+pub(crate) struct CoordinationChannels {
+    pub(crate) platform: ChannelSender<PlatformMessage>,
+    pub(crate) peers: ChannelSender<PeerMessage>,
+    pub(crate) orders: ChannelSender<OrderMessage>,
 }
 
 struct Coordination {
     coordinator: ZoneCoordinator,
-    rings: CoordinationRings,
+    channels: CoordinationChannels,
     zone: Name,
     /// What was last told to the peers' thread.
     published: Option<(Term, Version)>,
@@ -63,14 +63,14 @@
 /// The system's error when it refuses a thread.
 pub(crate) fn build(
     settings: CoordinatorSettings,
-    receiver: RingReceiver<CoordinationMessage>,
-    rings: CoordinationRings,
+    receiver: ChannelReceiver<CoordinationMessage>,
+    channels: CoordinationChannels,
 ) -> std::io::Result<JoinHandle<()>> {
     let zone = settings.zone.clone();
     let coordinator = ZoneCoordinator::new(settings, BootClock.now());
     let duty = Coordination {
         coordinator,
-        rings,
+        channels,
         zone,
         published: None,
         led: None,
@@ -80,7 +80,7 @@
     std::thread::Builder::new().name("coordination".to_owned()).spawn(move || run(duty, receiver))
 }
 
-fn run(mut duty: Coordination, mut receiver: RingReceiver<CoordinationMessage>) {
+fn run(mut duty: Coordination, mut receiver: ChannelReceiver<CoordinationMessage>) {
     while let Some(message) = receiver.blocking_recv() {
         duty.handle(message);
         duty.publish();
@@ -128,13 +128,13 @@
     fn act(&self, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
-                offer(&self.rings.orders, OrderMessage::Send(Box::new(order)));
+                try_send(&self.channels.orders, OrderMessage::Send(Box::new(order)));
             }
             ZoneAction::SendRecordBatch(vm, batch) => {
-                offer(&self.rings.peers, PeerMessage::AskRecord(vm, batch));
+                try_send(&self.channels.peers, PeerMessage::AskRecord(vm, batch));
             }
             ZoneAction::RequestStepDown(vm, term) => {
-                offer(&self.rings.peers, PeerMessage::AskStepDown(vm, term));
+                try_send(&self.channels.peers, PeerMessage::AskStepDown(vm, term));
             }
             ZoneAction::Notify(notice) => self.log(&notice),
             ZoneAction::SendRecordResponse(_) | ZoneAction::ConfirmStepDown(_) => {}
@@ -142,7 +142,7 @@
             | ZoneAction::WriteMandate(..)
             | ZoneAction::ReadPlacement(..)
             | ZoneAction::WritePlacement(..)) => {
-                offer(&self.rings.platform, PlatformMessage::Call(Box::new(call)));
+                try_send(&self.channels.platform, PlatformMessage::Call(Box::new(call)));
             }
         }
     }
@@ -152,13 +152,13 @@
         let leads = self.coordinator.publishes();
         let silent = self.coordinator.has_lost_coordinator(BootClock.now());
         if self.led.replace(leads) != Some(leads) {
-            offer(&self.rings.peers, PeerMessage::Lead(self.coordinator.term(), leads));
+            try_send(&self.channels.peers, PeerMessage::Lead(self.coordinator.term(), leads));
         }
         let mandate = self.coordinator.mandate();
         let standbys = mandate.map_or(&[][..], |mandate| &mandate.standbys);
         if leads && self.standbys != standbys {
             self.standbys = standbys.to_vec();
-            offer(&self.rings.peers, PeerMessage::Standbys(self.standbys.clone()));
+            try_send(&self.channels.peers, PeerMessage::Standbys(self.standbys.clone()));
         }
         let mode = if self.coordinator.awaits_predecessor_stop() {
             FollowMode::Urgent
@@ -168,12 +168,12 @@
             FollowMode::Off
         };
         if self.mode.replace(mode) != Some(mode) {
-            offer(&self.rings.platform, PlatformMessage::Follow(mode));
+            try_send(&self.channels.platform, PlatformMessage::Follow(mode));
         }
         if leads && self.published != Some(self.coordinator.published_version()) {
             let delta: ZoneDelta = self.coordinator.delta(self.published);
             self.published = Some((delta.term, delta.version));
-            offer(&self.rings.peers, PeerMessage::Publish(Box::new(delta)));
+            try_send(&self.channels.peers, PeerMessage::Publish(Box::new(delta)));
         }
     }
 
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -14,13 +14,13 @@
 use prometheus_client::registry::Registry;
 use thiserror::Error;
 
-use crate::coordination::{CoordinationMessage, CoordinationRings};
+use crate::channel::{ChannelSender, channel, try_send};
+use crate::coordination::{CoordinationChannels, CoordinationMessage};
 use crate::operators::OperatorDuty;
-use crate::peers::PeerRings;
-use crate::platform::PlatformRings;
+use crate::peers::PeerChannels;
+use crate::platform::PlatformChannels;
 use crate::readiness::Readiness;
 use crate::requests::WorkerUpdates;
-use crate::ring::{RingSender, offer, ring};
 use crate::settings::NodeSettings;
 use crate::{coordination, operators, orders, peers, platform, requests};
 use nickellead_event::{EventName, log_event};
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct NodeHandle {
     settings: NodeSettings,
-    coordination: RingSender<CoordinationMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     readiness: Arc<Readiness>,
     callers: Arc<ServeState>,
     operators: Arc<ServeState>,
@@ -77,10 +77,10 @@
     let peers_listener = listen("peers_address", settings.peers_address)?;
     let operators_listener = listen("operators_address", settings.operators_address)?;
     let incarnation = Incarnation(fastrand::u64(1..));
-    let (to_coordination, coordination_ring) = ring();
-    let (to_platform, platform_ring) = ring();
-    let (to_peers, peers_ring) = ring();
-    let (to_orders, orders_ring) = ring();
+    let (to_coordination, coordination_receiver) = channel();
+    let (to_platform, platform_receiver) = channel();
+    let (to_peers, peers_receiver) = channel();
+    let (to_orders, orders_receiver) = channel();
     let counter = CallCounter::default();
     let metrics = ProxyMetrics::default();
     let mut registry = Registry::with_prefix("nickellead");
@@ -92,7 +92,7 @@
     let mut workers = Vec::new();
     let mut to_workers = Vec::new();
     for place in 0..settings.workers {
-        let (to_worker, receiver) = ring();
+        let (to_worker, receiver) = channel();
         to_workers.push(to_worker);
         let updates = WorkerUpdates {
             receiver,
@@ -108,7 +108,7 @@
             Arc::clone(&callers),
         )?);
     }
-    let rings = PeerRings {
+    let channels = PeerChannels {
         coordination: to_coordination.clone(),
         orders: to_orders.clone(),
         workers: to_workers,
@@ -118,20 +118,22 @@
         own_vm(&settings, incarnation),
         peers_listener,
         known_vms(&settings),
-        peers_ring,
-        rings,
+        peers_receiver,
+        channels,
     )?;
-    let rings = PlatformRings { coordination: to_coordination.clone(), peers: to_peers.clone() };
+    let channels =
+        PlatformChannels { coordination: to_coordination.clone(), peers: to_peers.clone() };
     let zone = settings.zone.clone();
-    platform::build(settings.platform_address, zone, counter.clone(), platform_ring, rings)?;
+    platform::build(settings.platform_address, zone, counter.clone(), platform_receiver, channels)?;
     let timeout = settings.lease.to_timings().order_timeout;
-    orders::build(orders_ring, to_coordination.clone(), timeout)?;
+    orders::build(orders_receiver, to_coordination.clone(), timeout)?;
     let peers = to_peers.clone();
-    let rings = CoordinationRings { platform: to_platform, peers: to_peers, orders: to_orders };
+    let channels =
+        CoordinationChannels { platform: to_platform, peers: to_peers, orders: to_orders };
     let coordinator = coordination::build(
         coordinator_settings(&settings, incarnation),
-        coordination_ring,
-        rings,
+        coordination_receiver,
+        channels,
     )?;
     operators::build(OperatorDuty {
         vm: settings.vm.clone(),
@@ -181,7 +183,7 @@
         let end = Instant::now() + limit;
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
         self.readiness.stop();
-        offer(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
+        try_send(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
         std::thread::sleep(Duration::from_millis(u64::from(self.settings.stop_linger_ms)));
         self.callers.stop();
         let workers_done = self.workers.into_iter().all(|worker| join_until(worker, end));
@@ -261,10 +263,10 @@
 }
 
 /// Subscribes the coordination to the timer for as long as its thread lives.
-fn start_ticks(coordination: RingSender<CoordinationMessage>) -> std::io::Result<TimerService> {
+fn start_ticks(coordination: ChannelSender<CoordinationMessage>) -> std::io::Result<TimerService> {
     let timer = TimerService::start()?;
     let sink = move |_| {
-        offer(&coordination, CoordinationMessage::Event(ZoneEvent::Tick));
+        try_send(&coordination, CoordinationMessage::Event(ZoneEvent::Tick));
         !coordination.is_closed()
     };
     timer.subscribe(TICK_PERIOD, Box::new(sink));
--- a/crates/nickellead_run/src/operators.rs
+++ b/crates/nickellead_run/src/operators.rs
@@ -18,11 +18,11 @@
 use serde_json::json;
 use tokio::sync::oneshot;
 
+use crate::channel::{ChannelSender, try_send};
 use crate::coordination::{CoordinationMessage, CoordinationStatus};
 use crate::object_status::StatusView;
 use crate::peers::PeerMessage;
 use crate::readiness::Readiness;
-use crate::ring::{RingSender, offer};
 
 /// Connections of operators.
 const CONNECTIONS_MAX: usize = 256;
@@ -41,8 +41,8 @@
     pub(crate) platform: SocketAddr,
     pub(crate) counter: CallCounter,
     pub(crate) registry: Registry,
-    pub(crate) coordination: RingSender<CoordinationMessage>,
-    pub(crate) peers: RingSender<PeerMessage>,
+    pub(crate) coordination: ChannelSender<CoordinationMessage>,
+    pub(crate) peers: ChannelSender<PeerMessage>,
     pub(crate) readiness: Arc<Readiness>,
     pub(crate) state: Arc<ServeState>,
 }
@@ -190,7 +190,7 @@
     /// Puts a status beside each spec, as far as this VM knows it.
     async fn describe(&self, objects: &mut [ResourceObject]) {
         let (sender, receiver) = oneshot::channel();
-        offer(&self.duty.peers, PeerMessage::Summarize(sender));
+        try_send(&self.duty.peers, PeerMessage::Summarize(sender));
         let Ok(Ok(zones)) = tokio::time::timeout(STATUS_TIMEOUT, receiver).await else { return };
         let revision = self.duty.readiness.revision();
         let view = StatusView { vm: &self.duty.vm, revision, zones: &zones };
@@ -296,7 +296,7 @@
 
     async fn status(&self) -> Response<BoxBody> {
         let (sender, receiver) = oneshot::channel();
-        offer(&self.duty.coordination, CoordinationMessage::Status(sender));
+        try_send(&self.duty.coordination, CoordinationMessage::Status(sender));
         let status = tokio::time::timeout(STATUS_TIMEOUT, receiver).await;
         let coordination = match status {
             Ok(Ok(status)) => to_status(&status),
--- a/crates/nickellead_run/src/orders.rs
+++ b/crates/nickellead_run/src/orders.rs
@@ -11,8 +11,8 @@
 use nickellead_core::TargetKey;
 use nickellead_lease::{TargetOrder, TargetReply, ZoneEvent};
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
-use crate::ring::{RingReceiver, RingSender, offer};
 
 /// Path of orders at a target.
 const ORDER_PATH: &str = "/nickellead/order";
@@ -33,8 +33,8 @@
 /// # Errors
 /// The system's error when it refuses a thread.
 pub(crate) fn build(
-    receiver: RingReceiver<OrderMessage>,
-    coordination: RingSender<CoordinationMessage>,
+    receiver: ChannelReceiver<OrderMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     timeout: Duration,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("orders".to_owned()).spawn(move || {
@@ -45,8 +45,8 @@
 }
 
 async fn run(
-    mut receiver: RingReceiver<OrderMessage>,
-    coordination: RingSender<CoordinationMessage>,
+    mut receiver: ChannelReceiver<OrderMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     timeout: Duration,
 ) {
     let client = Rc::new(awc::Client::builder().timeout(timeout).finish());
@@ -69,7 +69,7 @@
                         Some(reply) => ZoneEvent::TargetReplied(reply),
                         None => ZoneEvent::TargetFailed(order.target, order.sequence),
                     };
-                    offer(&coordination, CoordinationMessage::Event(event));
+                    try_send(&coordination, CoordinationMessage::Event(event));
                 });
             }
         }
--- a/crates/nickellead_run/src/peers/answer.rs
+++ b/crates/nickellead_run/src/peers/answer.rs
@@ -9,8 +9,8 @@
 use tokio::time::timeout;
 
 use super::hub::PeerHub;
+use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
-use crate::ring::offer;
 
 /// Longest time an answer is held back while there is nothing to tell.
 const WAIT_MAX: Duration = Duration::from_secs(1);
@@ -27,12 +27,12 @@
         PeerRequest::Follow(request) => answer_follow(hub, &request).await,
         PeerRequest::Record(batch) => {
             let (sender, receiver) = oneshot::channel();
-            offer(hub.coordination(), CoordinationMessage::Record(batch, sender));
+            try_send(hub.coordination(), CoordinationMessage::Record(batch, sender));
             receiver.await.map_or(PeerReply::Refused, PeerReply::Record)
         }
         PeerRequest::StepDown(term) => {
             let (sender, receiver) = oneshot::channel();
-            offer(hub.coordination(), CoordinationMessage::StepDown(term, sender));
+            try_send(hub.coordination(), CoordinationMessage::StepDown(term, sender));
             receiver.await.map_or(PeerReply::Refused, PeerReply::SteppedDown)
         }
     }
@@ -42,7 +42,7 @@
     if request.from.zone == hub.own.zone {
         let vm =
             VmIncarnation { vm: request.from.vm.clone(), incarnation: request.from.incarnation };
-        offer(hub.coordination(), CoordinationMessage::Event(ZoneEvent::PeerSeen(vm)));
+        try_send(hub.coordination(), CoordinationMessage::Event(ZoneEvent::PeerSeen(vm)));
     }
     let mut changes = hub.subscribe();
     let wait = Duration::from_millis(u64::from(request.wait_ms)).min(WAIT_MAX);
--- a/crates/nickellead_run/src/peers/follow.rs
+++ b/crates/nickellead_run/src/peers/follow.rs
@@ -10,8 +10,8 @@
 use nickellead_peer::{FollowReply, PEER_PATH, PeerClient, PeerReply, PeerRequest};
 
 use super::hub::PeerHub;
+use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
-use crate::ring::offer;
 
 /// How long a coordinator may hold an answer to a standby back.
 const STANDBY_WAIT_MS: u32 = 250;
@@ -40,12 +40,12 @@
         };
         if let Some(event) = heard {
             followed = true;
-            offer(hub.coordination(), CoordinationMessage::Event(event));
+            try_send(hub.coordination(), CoordinationMessage::Event(event));
             continue;
         }
         if std::mem::take(&mut followed) {
             let gone = CoordinationMessage::Event(ZoneEvent::CoordinatorLost);
-            offer(hub.coordination(), gone);
+            try_send(hub.coordination(), gone);
         }
         tokio::time::sleep(SEARCH_PAUSE).await;
     }
--- a/crates/nickellead_run/src/peers/hub.rs
+++ b/crates/nickellead_run/src/peers/hub.rs
@@ -17,11 +17,11 @@
 use nickellead_route::{DeltaOutcome, ZoneSummary, ZoneTable};
 use tokio::sync::watch;
 
-use super::PeerRings;
+use super::PeerChannels;
+use crate::channel::{ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
 use crate::orders::OrderMessage;
 use crate::requests::WorkerMessage;
-use crate::ring::{RingSender, offer};
 use nickellead_event::{EventName, log_event};
 
 /// How long after its start a VM waits for the owners in other zones.
@@ -37,7 +37,7 @@
 /// State of the peers thread.
 pub(super) struct PeerHub {
     pub(super) own: PeerVm,
-    rings: PeerRings,
+    channels: PeerChannels,
     vms: RefCell<BTreeMap<Name, KnownVm>>,
     zones: RefCell<BTreeMap<ZoneKey, ZoneTable>>,
     coordinators: RefCell<BTreeMap<Name, (Term, PeerVm)>>,
@@ -51,15 +51,15 @@
 }
 
 impl PeerHub {
-    pub(super) fn new(own: PeerVm, known: Vec<PeerVm>, rings: PeerRings) -> Self {
+    pub(super) fn new(own: PeerVm, known: Vec<PeerVm>, channels: PeerChannels) -> Self {
         let vms = known.into_iter().map(|vm| {
             let place = KnownVm { zone: vm.zone, address: vm.address };
             (vm.vm, place)
         });
-        let lagging = vec![false; rings.workers.len()];
+        let lagging = vec![false; channels.workers.len()];
         Self {
             own,
-            rings,
+            channels,
             vms: RefCell::new(vms.collect()),
             zones: RefCell::default(),
             coordinators: RefCell::default(),
@@ -72,8 +72,8 @@
         }
     }
 
-    pub(super) fn coordination(&self) -> &RingSender<CoordinationMessage> {
-        &self.rings.coordination
+    pub(super) fn coordination(&self) -> &ChannelSender<CoordinationMessage> {
+        &self.channels.coordination
     }
 
     pub(super) fn leads(&self) -> bool {
@@ -171,14 +171,14 @@
         let newest = self.config.borrow().newest().cloned();
         let Some(config) = newest else { return };
         let event = ZoneEvent::ConfigChanged(Arc::clone(&config));
-        offer(&self.rings.coordination, CoordinationMessage::Event(event));
+        try_send(&self.channels.coordination, CoordinationMessage::Event(event));
         self.put_in_force(config);
     }
 
     /// Tells declarations to all parts of this VM but the coordination.
     fn put_in_force(&self, config: Arc<DeclaredConfig>) {
         log_event(EventName::ConfigInForce, &[("revision", &config.revision)]);
-        offer(&self.rings.orders, OrderMessage::Config(Arc::clone(&config)));
+        try_send(&self.channels.orders, OrderMessage::Config(Arc::clone(&config)));
         self.tell_workers(&WorkerUpdate::Config(config));
         self.notify();
     }
@@ -273,9 +273,9 @@
     /// Tells workers that they have been told enough to serve; one whose ring was full is told later.
     fn inform_workers(&self) {
         let lagging = self.lagging.borrow();
-        for (place, worker) in self.rings.workers.iter().enumerate() {
-            if !lagging[place] && !self.rings.readiness.worker(place).is_informed() {
-                offer(worker, WorkerMessage::Informed);
+        for (place, worker) in self.channels.workers.iter().enumerate() {
+            if !lagging[place] && !self.channels.readiness.worker(place).is_informed() {
+                try_send(worker, WorkerMessage::Informed);
             }
         }
     }
@@ -287,21 +287,21 @@
 
     fn tell_workers(&self, update: &WorkerUpdate) {
         let mut lagging = self.lagging.borrow_mut();
-        for (place, worker) in self.rings.workers.iter().enumerate() {
-            if lagging[place] || !offer(worker, WorkerMessage::Update(update.clone())) {
+        for (place, worker) in self.channels.workers.iter().enumerate() {
+            if lagging[place] || !try_send(worker, WorkerMessage::Update(update.clone())) {
                 lagging[place] = !self.tell_all(worker);
             }
         }
     }
 
     /// Tells a worker everything; tells whether it all went in.
-    fn tell_all(&self, worker: &RingSender<WorkerMessage>) -> bool {
-        let offer = |update| offer(worker, WorkerMessage::Update(update));
+    fn tell_all(&self, worker: &ChannelSender<WorkerMessage>) -> bool {
+        let try_send = |update| try_send(worker, WorkerMessage::Update(update));
         let config = self.config.borrow().newest().cloned();
-        let config_in = config.is_none_or(|config| offer(WorkerUpdate::Config(config)));
+        let config_in = config.is_none_or(|config| try_send(WorkerUpdate::Config(config)));
         let zones = self.zones.borrow();
         let mut deltas = zones.values().filter_map(|table| table.delta_since(None));
-        config_in && deltas.all(|delta| offer(WorkerUpdate::Routes(delta.changes.into())))
+        config_in && deltas.all(|delta| try_send(WorkerUpdate::Routes(delta.changes.into())))
     }
 }
 
--- a/crates/nickellead_run/src/peers/mod.rs
+++ b/crates/nickellead_run/src/peers/mod.rs
@@ -19,11 +19,11 @@
 use nickellead_route::ZoneSummary;
 use tokio::sync::oneshot;
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
 use crate::orders::OrderMessage;
 use crate::readiness::Readiness;
 use crate::requests::WorkerMessage;
-use crate::ring::{RingReceiver, RingSender, offer};
 use hub::PeerHub;
 
 /// How long an answer to an ask is waited for.
@@ -51,10 +51,10 @@
 }
 
 /// Rings from peers to the other duties.
-pub(crate) struct PeerRings {
-    pub(crate) coordination: RingSender<CoordinationMessage>,
-    pub(crate) orders: RingSender<OrderMessage>,
-    pub(crate) workers: Vec<RingSender<WorkerMessage>>,
+pub(crate) struct PeerChannels {
+    pub(crate) coordination: ChannelSender<CoordinationMessage>,
+    pub(crate) orders: ChannelSender<OrderMessage>,
+    pub(crate) workers: Vec<ChannelSender<WorkerMessage>>,
     pub(crate) readiness: Arc<Readiness>,
 }
 
@@ -66,12 +66,12 @@
     own: PeerVm,
     listener: TcpListener,
     known: Vec<PeerVm>,
-    receiver: RingReceiver<PeerMessage>,
-    rings: PeerRings,
+    receiver: ChannelReceiver<PeerMessage>,
+    channels: PeerChannels,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("peers".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
-            runtime.block_on(run(own, listener, known, receiver, rings));
+            runtime.block_on(run(own, listener, known, receiver, channels));
         }
     })
 }
@@ -80,13 +80,13 @@
     own: PeerVm,
     listener: TcpListener,
     known: Vec<PeerVm>,
-    mut receiver: RingReceiver<PeerMessage>,
-    rings: PeerRings,
+    mut receiver: ChannelReceiver<PeerMessage>,
+    channels: PeerChannels,
 ) {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
-    let hub = Rc::new(PeerHub::new(own, known, rings));
+    let hub = Rc::new(PeerHub::new(own, known, channels));
     actix_rt::spawn(serve_peers(listener, PEER_PATH, answer::handler(Rc::clone(&hub))));
     actix_rt::spawn(follow::follow_own_zone(Rc::clone(&hub)));
     actix_rt::spawn(follow::follow_other_zones(Rc::clone(&hub)));
@@ -127,6 +127,6 @@
             // Asked again by a later tick.
             _ => return,
         };
-        offer(&coordination, CoordinationMessage::Event(event));
+        try_send(&coordination, CoordinationMessage::Event(event));
     });
 }
--- a/crates/nickellead_run/src/platform.rs
+++ b/crates/nickellead_run/src/platform.rs
@@ -16,9 +16,9 @@
 use nickellead_platform::{CallCounter, PlatformClient, PlatformError};
 use tokio::sync::watch;
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
 use crate::peers::PeerMessage;
-use crate::ring::{RingReceiver, RingSender, offer};
 
 /// How long one watch waits for changes.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
@@ -52,9 +52,9 @@
 
 /// Who is told what the platform says.
 #[derive(Clone)]
-pub(crate) struct PlatformRings {
-    pub(crate) coordination: RingSender<CoordinationMessage>,
-    pub(crate) peers: RingSender<PeerMessage>,
+pub(crate) struct PlatformChannels {
+    pub(crate) coordination: ChannelSender<CoordinationMessage>,
+    pub(crate) peers: ChannelSender<PeerMessage>,
 }
 
 /// Starts the thread.
@@ -65,12 +65,12 @@
     address: SocketAddr,
     zone: Name,
     counter: CallCounter,
-    receiver: RingReceiver<PlatformMessage>,
-    rings: PlatformRings,
+    receiver: ChannelReceiver<PlatformMessage>,
+    channels: PlatformChannels,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("platform".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
-            runtime.block_on(run(address, zone, counter, receiver, rings));
+            runtime.block_on(run(address, zone, counter, receiver, channels));
         }
     })
 }
@@ -79,14 +79,14 @@
     address: SocketAddr,
     zone: Name,
     counter: CallCounter,
-    mut receiver: RingReceiver<PlatformMessage>,
-    rings: PlatformRings,
+    mut receiver: ChannelReceiver<PlatformMessage>,
+    channels: PlatformChannels,
 ) {
     let client = Rc::new(PlatformClient::new(address, counter));
     let zone = Rc::new(zone);
     let (follow, followed) = watch::channel(FollowMode::Off);
-    actix_rt::spawn(follow_config(Rc::clone(&client), followed.clone(), rings.clone()));
-    actix_rt::spawn(follow_vms(Rc::clone(&client), Rc::clone(&zone), followed, rings.clone()));
+    actix_rt::spawn(follow_config(Rc::clone(&client), followed.clone(), channels.clone()));
+    actix_rt::spawn(follow_vms(Rc::clone(&client), Rc::clone(&zone), followed, channels.clone()));
     while let Some(message) = receiver.recv().await {
         match message {
             PlatformMessage::Follow(wanted) => {
@@ -94,10 +94,10 @@
             }
             PlatformMessage::Call(action) => {
                 let (client, zone) = (Rc::clone(&client), Rc::clone(&zone));
-                let coordination = rings.coordination.clone();
+                let coordination = channels.coordination.clone();
                 actix_rt::spawn(async move {
                     if let Some(event) = call(&client, &zone, *action).await {
-                        offer(&coordination, CoordinationMessage::Event(event));
+                        try_send(&coordination, CoordinationMessage::Event(event));
                     }
                 });
             }
@@ -136,7 +136,7 @@
 async fn follow_config(
     client: Rc<PlatformClient>,
     mut followed: watch::Receiver<FollowMode>,
-    rings: PlatformRings,
+    channels: PlatformChannels,
 ) {
     let mut objects = ConfigObjects::default();
     loop {
@@ -144,18 +144,18 @@
             return;
         }
         match objects.refresh(&client).await {
-            Ok(true) => tell_config(&objects, &rings),
+            Ok(true) => tell_config(&objects, &channels),
             Ok(false) => {}
             Err(_) => tokio::time::sleep(FAILURE_PAUSE).await,
         }
     }
 }
 
-fn tell_config(objects: &ConfigObjects, rings: &PlatformRings) {
+fn tell_config(objects: &ConfigObjects, channels: &PlatformChannels) {
     let config = Arc::new(objects.to_config());
     let event = ZoneEvent::ConfigChanged(Arc::clone(&config));
-    offer(&rings.coordination, CoordinationMessage::Event(event));
-    offer(&rings.peers, PeerMessage::Config(config));
+    try_send(&channels.coordination, CoordinationMessage::Event(event));
+    try_send(&channels.peers, PeerMessage::Config(config));
 }
 
 /// The declared objects, kept up to date by list and watch.
@@ -232,7 +232,7 @@
     client: Rc<PlatformClient>,
     zone: Rc<Name>,
     mut followed: watch::Receiver<FollowMode>,
-    rings: PlatformRings,
+    channels: PlatformChannels,
 ) {
     loop {
         if followed.wait_for(|mode| *mode != FollowMode::Off).await.is_err() {
@@ -242,8 +242,8 @@
             let local = vms.iter().filter(|vm| vm.zone == *zone);
             let names = local.map(|vm| vm.vm.clone()).collect();
             let event = ZoneEvent::VmsListed(names);
-            offer(&rings.coordination, CoordinationMessage::Event(event));
-            offer(&rings.peers, PeerMessage::Listed(vms));
+            try_send(&channels.coordination, CoordinationMessage::Event(event));
+            try_send(&channels.peers, PeerMessage::Listed(vms));
         }
         let period = match *followed.borrow_and_update() {
             FollowMode::Urgent => URGENT_LIST_PERIOD,
--- a/crates/nickellead_run/src/requests.rs
+++ b/crates/nickellead_run/src/requests.rs
@@ -9,8 +9,8 @@
     ProxyLimits, ProxyMetrics, ProxyWorker, ServeState, WorkerUpdate, serve_http,
 };
 
+use crate::channel::ChannelReceiver;
 use crate::readiness::Readiness;
-use crate::ring::RingReceiver;
 
 /// What reaches a worker over its ring.
 pub(crate) enum WorkerMessage {
@@ -43,7 +43,7 @@
 
 /// What a worker is told, and where it notes what it has taken over.
 pub(crate) struct WorkerUpdates {
-    pub(crate) receiver: RingReceiver<WorkerMessage>,
+    pub(crate) receiver: ChannelReceiver<WorkerMessage>,
     pub(crate) readiness: Arc<Readiness>,
     /// The worker's place among those of the VM.
     pub(crate) place: usize,
