--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -13,7 +13,7 @@
 use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::orders::OrderMessage;
 use crate::peers::PeerMessage;
-use crate::platform::{FollowMode, PlatformMessage};
+use crate::platform::{PlatformMessage, WatchMode};
 use nickellead_event::{EventName, log_event};
 
 /// What reaches the coordination thread.
@@ -52,9 +52,9 @@
     zone: Name,
     /// What was last told to the peers' thread.
     published: Option<(Term, Version)>,
-    led: Option<bool>,
+    announced_leading: Option<bool>,
     standbys: Vec<VmIncarnation>,
-    mode: Option<FollowMode>,
+    watch_mode: Option<WatchMode>,
 }
 
 /// Starts the thread.
@@ -68,23 +68,25 @@
 ) -> std::io::Result<JoinHandle<()>> {
     let zone = settings.zone.clone();
     let coordinator = ZoneCoordinator::new(settings, BootClock.now());
-    let duty = Coordination {
+    let coordination = Coordination {
         coordinator,
         channels,
         zone,
         published: None,
-        led: None,
+        announced_leading: None,
         standbys: Vec::new(),
-        mode: None,
+        watch_mode: None,
     };
-    std::thread::Builder::new().name("coordination".to_owned()).spawn(move || run(duty, receiver))
+    std::thread::Builder::new()
+        .name("coordination".to_owned())
+        .spawn(move || run(coordination, receiver))
 }
 
-fn run(mut duty: Coordination, mut receiver: ChannelReceiver<CoordinationMessage>) {
+fn run(mut coordination: Coordination, mut receiver: ChannelReceiver<CoordinationMessage>) {
     while let Some(message) = receiver.blocking_recv() {
-        duty.handle(message);
-        duty.publish();
-        if duty.coordinator.phase() == MandatePhase::Stopped {
+        coordination.handle(message);
+        coordination.publish();
+        if coordination.coordinator.phase() == MandatePhase::Stopped {
             return;
         }
     }
@@ -95,28 +97,28 @@
         match message {
             CoordinationMessage::Event(event) => {
                 let actions = self.step(event);
-                actions.into_iter().for_each(|action| self.act(action));
+                actions.into_iter().for_each(|action| self.execute(action));
             }
-            CoordinationMessage::Record(batch, answer) => {
+            CoordinationMessage::Record(batch, responder) => {
                 for action in self.step(ZoneEvent::RecordBatchReceived(batch)) {
-                    if let ZoneAction::SendRecordResponse(reply) = action {
+                    if let ZoneAction::SendRecordResponse(response) = action {
                         // The asker may be gone by now.
-                        let _ = answer.send(reply);
+                        let _ = responder.send(response);
                         break;
                     }
-                    self.act(action);
+                    self.execute(action);
                 }
             }
-            CoordinationMessage::StepDown(term, answer) => {
+            CoordinationMessage::StepDown(term, responder) => {
                 self.step(ZoneEvent::StepDownRequested(term)).into_iter().for_each(|action| {
                     if !matches!(action, ZoneAction::ConfirmStepDown(_)) {
-                        self.act(action);
+                        self.execute(action);
                     }
                 });
-                let _ = answer.send(self.coordinator.term());
+                let _ = responder.send(self.coordinator.term());
             }
-            CoordinationMessage::Status(answer) => {
-                let _ = answer.send(self.status());
+            CoordinationMessage::Status(responder) => {
+                let _ = responder.send(self.status());
             }
         }
     }
@@ -125,16 +127,16 @@
         self.coordinator.handle(event, BootClock.now())
     }
 
-    fn act(&self, action: ZoneAction) {
+    fn execute(&self, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
                 try_send(&self.channels.orders, OrderMessage::Send(Box::new(order)));
             }
             ZoneAction::SendRecordBatch(vm, batch) => {
-                try_send(&self.channels.peers, PeerMessage::AskRecord(vm, batch));
+                try_send(&self.channels.peers, PeerMessage::SendRecordBatch(vm, batch));
             }
             ZoneAction::RequestStepDown(vm, term) => {
-                try_send(&self.channels.peers, PeerMessage::AskStepDown(vm, term));
+                try_send(&self.channels.peers, PeerMessage::RequestStepDown(vm, term));
             }
             ZoneAction::Notify(notice) => self.log(&notice),
             ZoneAction::SendRecordResponse(_) | ZoneAction::ConfirmStepDown(_) => {}
@@ -149,28 +151,31 @@
 
     /// Tells the other duties what changed: owners, and whether this VM coordinates.
     fn publish(&mut self) {
-        let leads = self.coordinator.publishes();
-        let silent = self.coordinator.has_lost_coordinator(BootClock.now());
-        if self.led.replace(leads) != Some(leads) {
-            try_send(&self.channels.peers, PeerMessage::Lead(self.coordinator.term(), leads));
+        let is_leading = self.coordinator.publishes();
+        let coordinator_lost = self.coordinator.has_lost_coordinator(BootClock.now());
+        if self.announced_leading.replace(is_leading) != Some(is_leading) {
+            try_send(
+                &self.channels.peers,
+                PeerMessage::Leading(self.coordinator.term(), is_leading),
+            );
         }
         let mandate = self.coordinator.mandate();
         let standbys = mandate.map_or(&[][..], |mandate| &mandate.standbys);
-        if leads && self.standbys != standbys {
+        if is_leading && self.standbys != standbys {
             self.standbys = standbys.to_vec();
             try_send(&self.channels.peers, PeerMessage::Standbys(self.standbys.clone()));
         }
-        let mode = if self.coordinator.awaits_predecessor_stop() {
-            FollowMode::Urgent
-        } else if self.coordinator.coordinates() || silent {
-            FollowMode::Calm
+        let watch_mode = if self.coordinator.awaits_predecessor_stop() {
+            WatchMode::Urgent
+        } else if self.coordinator.coordinates() || coordinator_lost {
+            WatchMode::Normal
         } else {
-            FollowMode::Off
+            WatchMode::Off
         };
-        if self.mode.replace(mode) != Some(mode) {
-            try_send(&self.channels.platform, PlatformMessage::Follow(mode));
+        if self.watch_mode.replace(watch_mode) != Some(watch_mode) {
+            try_send(&self.channels.platform, PlatformMessage::SetWatchMode(watch_mode));
         }
-        if leads && self.published != Some(self.coordinator.published_version()) {
+        if is_leading && self.published != Some(self.coordinator.published_version()) {
             let delta: ZoneDelta = self.coordinator.delta(self.published);
             self.published = Some((delta.term, delta.version));
             try_send(&self.channels.peers, PeerMessage::Publish(Box::new(delta)));
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -87,23 +87,23 @@
     metrics.register(&mut registry);
     let callers = Arc::new(ServeState::default());
     let operators = Arc::new(ServeState::default());
-    let readiness = Arc::new(Readiness::of_workers(settings.workers));
+    let readiness = Arc::new(Readiness::with_workers(settings.workers));
 
     let mut workers = Vec::new();
     let mut to_workers = Vec::new();
-    for place in 0..settings.workers {
+    for index in 0..settings.workers {
         let (to_worker, receiver) = channel();
         to_workers.push(to_worker);
         let updates = WorkerUpdates {
             receiver,
             readiness: Arc::clone(&readiness),
-            place: usize::from(place),
+            index: usize::from(index),
         };
         workers.push(requests::build(
             updates,
             listen("callers_address", settings.callers_address)?,
             settings.limits.to_limits(settings.workers),
-            incarnation.0.wrapping_add(u64::from(place)),
+            incarnation.0.wrapping_add(u64::from(index)),
             metrics.clone(),
             Arc::clone(&callers),
         )?);
@@ -182,7 +182,7 @@
         let limit = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
         let end = Instant::now() + limit;
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
-        self.readiness.stop();
+        self.readiness.set_stopping();
         try_send(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
         std::thread::sleep(Duration::from_millis(u64::from(self.settings.stop_linger_ms)));
         self.callers.stop();
--- a/crates/nickellead_run/src/peers/follow.rs
+++ b/crates/nickellead_run/src/peers/follow.rs
@@ -9,129 +9,133 @@
 use nickellead_lease::ZoneEvent;
 use nickellead_peer::{FollowReply, PEER_PATH, PeerClient, PeerReply, PeerRequest};
 
-use super::hub::PeerHub;
+use super::state::PeerState;
 use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
 
 /// How long a coordinator may hold an answer to a standby back.
-const STANDBY_WAIT_MS: u32 = 250;
+const STANDBY_LONG_POLL_MS: u32 = 250;
 /// How long a coordinator may hold an answer to another VM back.
-const FOLLOW_WAIT_MS: u32 = 1_000;
+const FOLLOWER_LONG_POLL_MS: u32 = 1_000;
 /// How long an answer is waited for beyond that.
-const FOLLOW_TIMEOUT: Duration = Duration::from_millis(350);
+const LONG_POLL_GRACE: Duration = Duration::from_millis(350);
 /// Pause after an answer of a VM that does not coordinate, or after none.
-const SEARCH_PAUSE: Duration = Duration::from_millis(50);
+const SEARCH_BACKOFF: Duration = Duration::from_millis(50);
 /// Between two looks for zones that are not followed yet.
-const ZONES_PERIOD: Duration = Duration::from_millis(500);
+const ZONES_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Follows the coordinator of this VM's zone for as long as the thread runs.
-pub(super) async fn follow_own_zone(hub: Rc<PeerHub>) {
-    let mut search = PeerSearch::new(hub.own.zone.clone());
-    let mut followed = false;
+pub(super) async fn follow_own_zone(state: Rc<PeerState>) {
+    let mut search = CoordinatorSearch::new(state.own.zone.clone());
+    let mut has_coordinator = false;
     loop {
-        if hub.leads() {
-            followed = false;
-            tokio::time::sleep(SEARCH_PAUSE).await;
+        if state.is_leading() {
+            has_coordinator = false;
+            tokio::time::sleep(SEARCH_BACKOFF).await;
             continue;
         }
-        let heard = match search.ask(&hub).await {
-            Some(reply) => hear(&hub, &mut search, reply),
+        let announcement = match search.poll(&state).await {
+            Some(reply) => apply_response(&state, &mut search, reply),
             None => None,
         };
-        if let Some(event) = heard {
-            followed = true;
-            try_send(hub.coordination(), CoordinationMessage::Event(event));
+        if let Some(event) = announcement {
+            has_coordinator = true;
+            try_send(state.coordination(), CoordinationMessage::Event(event));
             continue;
         }
-        if std::mem::take(&mut followed) {
-            let gone = CoordinationMessage::Event(ZoneEvent::CoordinatorLost);
-            try_send(hub.coordination(), gone);
+        if std::mem::take(&mut has_coordinator) {
+            let lost = CoordinationMessage::Event(ZoneEvent::CoordinatorLost);
+            try_send(state.coordination(), lost);
         }
-        tokio::time::sleep(SEARCH_PAUSE).await;
+        tokio::time::sleep(SEARCH_BACKOFF).await;
     }
 }
 
 /// Takes over an answer; the event to tell when it came from the coordinator.
-fn hear(hub: &PeerHub, search: &mut PeerSearch, reply: FollowReply) -> Option<ZoneEvent> {
+fn apply_response(
+    state: &PeerState,
+    search: &mut CoordinatorSearch,
+    reply: FollowReply,
+) -> Option<ZoneEvent> {
     let (term, standby) = (reply.term, reply.standby);
-    search.wait_ms = if standby { STANDBY_WAIT_MS } else { FOLLOW_WAIT_MS };
-    hub.take_reply(reply).then_some(ZoneEvent::CoordinatorAnnounced(term, standby))
+    search.long_poll_ms = if standby { STANDBY_LONG_POLL_MS } else { FOLLOWER_LONG_POLL_MS };
+    state.apply_reply(reply).then_some(ZoneEvent::CoordinatorAnnounced(term, standby))
 }
 
 /// While this VM coordinates, follows the coordinators of the other zones.
-pub(super) async fn follow_other_zones(hub: Rc<PeerHub>) {
-    let mut followed = BTreeSet::new();
+pub(super) async fn follow_other_zones(state: Rc<PeerState>) {
+    let mut followed_zones = BTreeSet::new();
     loop {
-        for zone in hub.other_zones() {
-            if followed.insert(zone.clone()) {
-                actix_rt::spawn(follow_zone(Rc::clone(&hub), zone));
+        for zone in state.other_zones() {
+            if followed_zones.insert(zone.clone()) {
+                actix_rt::spawn(follow_zone(Rc::clone(&state), zone));
             }
         }
-        hub.check_readiness();
-        tokio::time::sleep(ZONES_PERIOD).await;
+        state.check_readiness();
+        tokio::time::sleep(ZONES_CHECK_INTERVAL).await;
     }
 }
 
-async fn follow_zone(hub: Rc<PeerHub>, zone: Name) {
-    let mut search = PeerSearch::new(zone);
+async fn follow_zone(state: Rc<PeerState>, zone: Name) {
+    let mut search = CoordinatorSearch::new(zone);
     loop {
-        if !hub.leads() {
-            tokio::time::sleep(ZONES_PERIOD).await;
+        if !state.is_leading() {
+            tokio::time::sleep(ZONES_CHECK_INTERVAL).await;
             continue;
         }
-        let from_coordinator = match search.ask(&hub).await {
-            Some(reply) => hub.take_reply(reply),
+        let from_coordinator = match search.poll(&state).await {
+            Some(reply) => state.apply_reply(reply),
             None => false,
         };
         if !from_coordinator {
-            tokio::time::sleep(SEARCH_PAUSE).await;
+            tokio::time::sleep(SEARCH_BACKOFF).await;
         }
     }
 }
 
 /// Looks for a zone's coordinator: the known one first, then any VM of the zone.
-struct PeerSearch {
+struct CoordinatorSearch {
     zone: Name,
-    next: usize,
+    next_index: usize,
     /// How long the next answer may be held back.
-    wait_ms: u32,
+    long_poll_ms: u32,
     client: Option<PeerClient>,
 }
 
-impl PeerSearch {
+impl CoordinatorSearch {
     const fn new(zone: Name) -> Self {
-        Self { zone, next: 0, wait_ms: STANDBY_WAIT_MS, client: None }
+        Self { zone, next_index: 0, long_poll_ms: STANDBY_LONG_POLL_MS, client: None }
     }
 
-    async fn ask(&mut self, hub: &PeerHub) -> Option<FollowReply> {
-        let address = self.choose(hub)?;
+    async fn poll(&mut self, state: &PeerState) -> Option<FollowReply> {
+        let address = self.next_address(state)?;
         let mut client = match self.client.take().filter(|client| client.address() == address) {
             Some(client) => client,
             None => PeerClient::new(address, PEER_PATH),
         };
-        let request = PeerRequest::Follow(hub.follow_request(self.wait_ms));
-        let limit = Duration::from_millis(u64::from(self.wait_ms)) + FOLLOW_TIMEOUT;
-        let answer = client.call(&request, limit).await;
-        match answer {
+        let request = PeerRequest::Follow(state.follow_request(self.long_poll_ms));
+        let timeout = Duration::from_millis(u64::from(self.long_poll_ms)) + LONG_POLL_GRACE;
+        let response = client.call(&request, timeout).await;
+        match response {
             Ok(PeerReply::Follow(reply)) => {
                 self.client = Some(client);
                 Some(*reply)
             }
             _ => {
-                self.wait_ms = STANDBY_WAIT_MS;
-                hub.forget_coordinator(&self.zone);
+                self.long_poll_ms = STANDBY_LONG_POLL_MS;
+                state.remove_coordinator(&self.zone);
                 None
             }
         }
     }
 
-    fn choose(&mut self, hub: &PeerHub) -> Option<SocketAddr> {
-        let coordinator = hub.coordinator_of(&self.zone);
-        if let Some(coordinator) = coordinator.filter(|vm| vm.vm != hub.own.vm) {
+    fn next_address(&mut self, state: &PeerState) -> Option<SocketAddr> {
+        let coordinator = state.coordinator_of(&self.zone);
+        if let Some(coordinator) = coordinator.filter(|vm| vm.vm != state.own.vm) {
             return Some(coordinator.address);
         }
-        let vms = hub.vms_of(&self.zone);
-        self.next = self.next.wrapping_add(1);
-        vms.get(self.next % vms.len().max(1)).copied()
+        let vms = state.vms_of(&self.zone);
+        self.next_index = self.next_index.wrapping_add(1);
+        vms.get(self.next_index % vms.len().max(1)).copied()
     }
 }
--- a/crates/nickellead_run/src/peers/mod.rs
+++ b/crates/nickellead_run/src/peers/mod.rs
@@ -1,8 +1,8 @@
 //! The peers thread: follows coordinators, answers followers, feeds the workers.
 
-mod answer;
 mod follow;
-mod hub;
+mod server;
+mod state;
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -24,10 +24,10 @@
 use crate::orders::OrderMessage;
 use crate::readiness::Readiness;
 use crate::requests::WorkerMessage;
-use hub::PeerHub;
+use state::PeerState;
 
 /// How long an answer to an ask is waited for.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What reaches the peers thread.
 #[derive(Debug)]
@@ -35,19 +35,19 @@
     /// This VM's zone has new owners.
     Publish(Box<ZoneDelta>),
     /// Whether this VM coordinates its zone, and in which term.
-    Lead(Term, bool),
+    Leading(Term, bool),
     /// The standbys that the mandate names.
     Standbys(Vec<VmIncarnation>),
     /// New declarations from the platform.
     Config(Arc<DeclaredConfig>),
     /// The platform's list of VMs.
-    Listed(Vec<ListedVm>),
+    VmList(Vec<ListedVm>),
     /// An operator asks for the owners in every zone.
     Summarize(oneshot::Sender<BTreeMap<ZoneKey, ZoneSummary>>),
     /// Ask a standby to keep new owners.
-    AskRecord(VmIncarnation, RecordBatch),
+    SendRecordBatch(VmIncarnation, RecordBatch),
     /// Ask the former coordinator to step down.
-    AskStepDown(VmIncarnation, Term),
+    RequestStepDown(VmIncarnation, Term),
 }
 
 /// Rings from peers to the other duties.
@@ -86,43 +86,43 @@
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
-    let hub = Rc::new(PeerHub::new(own, known, channels));
-    actix_rt::spawn(serve_peers(listener, PEER_PATH, answer::handler(Rc::clone(&hub))));
-    actix_rt::spawn(follow::follow_own_zone(Rc::clone(&hub)));
-    actix_rt::spawn(follow::follow_other_zones(Rc::clone(&hub)));
+    let state = Rc::new(PeerState::new(own, known, channels));
+    actix_rt::spawn(serve_peers(listener, PEER_PATH, server::handler(Rc::clone(&state))));
+    actix_rt::spawn(follow::follow_own_zone(Rc::clone(&state)));
+    actix_rt::spawn(follow::follow_other_zones(Rc::clone(&state)));
     while let Some(message) = receiver.recv().await {
-        take(&hub, message);
+        handle(&state, message);
     }
 }
 
-fn take(hub: &Rc<PeerHub>, message: PeerMessage) {
+fn handle(state: &Rc<PeerState>, message: PeerMessage) {
     match message {
         PeerMessage::Publish(delta) => {
-            hub.take_delta(&delta);
+            state.apply_delta(&delta);
         }
-        PeerMessage::Lead(term, leads) => hub.set_lead(term, leads),
-        PeerMessage::Standbys(standbys) => hub.set_standbys(standbys),
-        PeerMessage::Config(config) => hub.take_config(config),
-        PeerMessage::Listed(vms) => hub.take_listed(vms),
-        PeerMessage::Summarize(answer) => {
+        PeerMessage::Leading(term, is_leading) => state.set_leading(term, is_leading),
+        PeerMessage::Standbys(standbys) => state.set_standbys(standbys),
+        PeerMessage::Config(config) => state.apply_config(config),
+        PeerMessage::VmList(vms) => state.apply_vm_list(vms),
+        PeerMessage::Summarize(responder) => {
             // The operator may have gone.
-            let _ = answer.send(hub.summaries());
+            let _ = responder.send(state.summaries());
         }
-        PeerMessage::AskRecord(vm, batch) => ask(hub, &vm, PeerRequest::Record(batch)),
-        PeerMessage::AskStepDown(vm, term) => ask(hub, &vm, PeerRequest::StepDown(term)),
+        PeerMessage::SendRecordBatch(vm, batch) => send(state, &vm, PeerRequest::Record(batch)),
+        PeerMessage::RequestStepDown(vm, term) => send(state, &vm, PeerRequest::StepDown(term)),
     }
 }
 
 /// Asks one VM something and hands the answer to the coordination.
-fn ask(hub: &Rc<PeerHub>, vm: &VmIncarnation, request: PeerRequest) {
-    let Some(address) = hub.address_of(&vm.vm) else {
+fn send(state: &Rc<PeerState>, vm: &VmIncarnation, request: PeerRequest) {
+    let Some(address) = state.address_of(&vm.vm) else {
         return;
     };
-    let coordination = hub.coordination().clone();
+    let coordination = state.coordination().clone();
     actix_rt::spawn(async move {
         let mut client = PeerClient::new(address, PEER_PATH);
-        let event = match client.call(&request, ASK_TIMEOUT).await {
-            Ok(PeerReply::Record(answer)) => ZoneEvent::RecordResponseReceived(answer),
+        let event = match client.call(&request, REQUEST_TIMEOUT).await {
+            Ok(PeerReply::Record(response)) => ZoneEvent::RecordResponseReceived(response),
             Ok(PeerReply::SteppedDown(term)) => ZoneEvent::StepDownConfirmed(term),
             // Asked again by a later tick.
             _ => return,
--- a/crates/nickellead_run/src/peers/answer.rs
+++ b/crates/nickellead_run/src/peers/server.rs
@@ -8,49 +8,49 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::hub::PeerHub;
+use super::state::PeerState;
 use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
 
 /// Longest time an answer is held back while there is nothing to tell.
-const WAIT_MAX: Duration = Duration::from_secs(1);
+const MAX_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-pub(super) fn handler(hub: Rc<PeerHub>) -> PeerHandler {
+pub(super) fn handler(state: Rc<PeerState>) -> PeerHandler {
     Rc::new(move |request, _| {
-        let hub = Rc::clone(&hub);
-        Box::pin(async move { answer(&hub, request).await })
+        let state = Rc::clone(&state);
+        Box::pin(async move { respond(&state, request).await })
     })
 }
 
-async fn answer(hub: &PeerHub, request: PeerRequest) -> PeerReply {
+async fn respond(state: &PeerState, request: PeerRequest) -> PeerReply {
     match request {
-        PeerRequest::Follow(request) => answer_follow(hub, &request).await,
+        PeerRequest::Follow(request) => respond_to_follow(state, &request).await,
         PeerRequest::Record(batch) => {
             let (sender, receiver) = oneshot::channel();
-            try_send(hub.coordination(), CoordinationMessage::Record(batch, sender));
+            try_send(state.coordination(), CoordinationMessage::Record(batch, sender));
             receiver.await.map_or(PeerReply::Refused, PeerReply::Record)
         }
         PeerRequest::StepDown(term) => {
             let (sender, receiver) = oneshot::channel();
-            try_send(hub.coordination(), CoordinationMessage::StepDown(term, sender));
+            try_send(state.coordination(), CoordinationMessage::StepDown(term, sender));
             receiver.await.map_or(PeerReply::Refused, PeerReply::SteppedDown)
         }
     }
 }
 
-async fn answer_follow(hub: &PeerHub, request: &FollowRequest) -> PeerReply {
-    if request.from.zone == hub.own.zone {
+async fn respond_to_follow(state: &PeerState, request: &FollowRequest) -> PeerReply {
+    if request.from.zone == state.own.zone {
         let vm =
             VmIncarnation { vm: request.from.vm.clone(), incarnation: request.from.incarnation };
-        try_send(hub.coordination(), CoordinationMessage::Event(ZoneEvent::PeerSeen(vm)));
+        try_send(state.coordination(), CoordinationMessage::Event(ZoneEvent::PeerSeen(vm)));
     }
-    let mut changes = hub.subscribe();
-    let wait = Duration::from_millis(u64::from(request.wait_ms)).min(WAIT_MAX);
-    let waiting = async {
+    let mut changes = state.subscribe();
+    let wait_limit = Duration::from_millis(u64::from(request.wait_ms)).min(MAX_LONG_POLL_TIMEOUT);
+    let wait_for_changes = async {
         // Only a coordinator holds an answer back: another VM has nothing more to say.
-        while hub.leads() {
+        while state.is_leading() {
             changes.mark_unchanged();
-            let reply = hub.follow_reply(request);
+            let reply = state.follow_reply(request);
             if !reply.zones.is_empty() || reply.config.is_some() || changes.changed().await.is_err()
             {
                 return;
@@ -58,6 +58,6 @@
         }
     };
     // Running out of time means there was nothing to tell.
-    let _ = timeout(wait, waiting).await;
-    PeerReply::Follow(Box::new(hub.follow_reply(request)))
+    let _ = timeout(wait_limit, wait_for_changes).await;
+    PeerReply::Follow(Box::new(state.follow_reply(request)))
 }
--- a/crates/nickellead_run/src/peers/hub.rs
+++ b/crates/nickellead_run/src/peers/state.rs
@@ -1,4 +1,4 @@
-//! What this VM knows of the others, and who is told when it changes.
+//! What this VM knows of the others, and who is notified when it changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,9 +25,9 @@
 use nickellead_event::{EventName, log_event};
 
 /// How long after its start a VM waits for the owners in other zones.
-const OTHER_ZONES_WAIT: Duration = Duration::from_secs(3);
+const OTHER_ZONES_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Another VM's place.
+/// Another VM's location.
 #[derive(Clone, Debug)]
 struct KnownVm {
     zone: Name,
@@ -35,26 +35,26 @@
 }
 
 /// State of the peers thread.
-pub(super) struct PeerHub {
+pub(super) struct PeerState {
     pub(super) own: PeerVm,
     channels: PeerChannels,
     vms: RefCell<BTreeMap<Name, KnownVm>>,
     zones: RefCell<BTreeMap<ZoneKey, ZoneTable>>,
     coordinators: RefCell<BTreeMap<Name, (Term, PeerVm)>>,
     config: RefCell<ConfigHistory>,
-    leads: Cell<bool>,
+    is_leading: Cell<bool>,
     standbys: RefCell<Vec<VmIncarnation>>,
-    changes: watch::Sender<u64>,
+    change_counter: watch::Sender<u64>,
     started: Instant,
     /// Workers whose ring was full: they get everything anew.
     lagging: RefCell<Vec<bool>>,
 }
 
-impl PeerHub {
+impl PeerState {
     pub(super) fn new(own: PeerVm, known: Vec<PeerVm>, channels: PeerChannels) -> Self {
         let vms = known.into_iter().map(|vm| {
-            let place = KnownVm { zone: vm.zone, address: vm.address };
-            (vm.vm, place)
+            let known_vm = KnownVm { zone: vm.zone, address: vm.address };
+            (vm.vm, known_vm)
         });
         let lagging = vec![false; channels.workers.len()];
         Self {
@@ -64,9 +64,9 @@
             zones: RefCell::default(),
             coordinators: RefCell::default(),
             config: RefCell::default(),
-            leads: Cell::new(false),
+            is_leading: Cell::new(false),
             standbys: RefCell::default(),
-            changes: watch::channel(0).0,
+            change_counter: watch::channel(0).0,
             started: Instant::now(),
             lagging: RefCell::new(lagging),
         }
@@ -76,20 +76,20 @@
         &self.channels.coordination
     }
 
-    pub(super) fn leads(&self) -> bool {
-        self.leads.get()
+    pub(super) fn is_leading(&self) -> bool {
+        self.is_leading.get()
     }
 
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changes.subscribe()
+        self.change_counter.subscribe()
     }
 
-    pub(super) fn set_lead(&self, term: Term, leads: bool) {
-        self.leads.set(leads);
-        if leads {
-            self.note_coordinator(term, self.own.clone());
+    pub(super) fn set_leading(&self, term: Term, is_leading: bool) {
+        self.is_leading.set(is_leading);
+        if is_leading {
+            self.record_coordinator(term, self.own.clone());
         } else if self.coordinator_of(&self.own.zone).as_ref() == Some(&self.own) {
-            self.forget_coordinator(&self.own.zone);
+            self.remove_coordinator(&self.own.zone);
         }
         self.notify();
     }
@@ -100,7 +100,7 @@
 
     fn is_standby(&self, vm: &PeerVm) -> bool {
         let standby = VmIncarnation { vm: vm.vm.clone(), incarnation: vm.incarnation };
-        self.leads.get() && self.standbys.borrow().contains(&standby)
+        self.is_leading.get() && self.standbys.borrow().contains(&standby)
     }
 
     pub(super) fn address_of(&self, vm: &Name) -> Option<SocketAddr> {
@@ -129,19 +129,19 @@
     }
 
     /// Forgets a coordinator that did not answer.
-    pub(super) fn forget_coordinator(&self, zone: &Name) {
+    pub(super) fn remove_coordinator(&self, zone: &Name) {
         self.coordinators.borrow_mut().remove(zone);
     }
 
-    fn note_coordinator(&self, term: Term, vm: PeerVm) {
+    fn record_coordinator(&self, term: Term, vm: PeerVm) {
         let mut coordinators = self.coordinators.borrow_mut();
-        let newer = coordinators.get(&vm.zone).is_none_or(|(known, _)| *known <= term);
-        if newer {
+        let is_newer = coordinators.get(&vm.zone).is_none_or(|(known, _)| *known <= term);
+        if is_newer {
             coordinators.insert(vm.zone.clone(), (term, vm));
         }
     }
 
-    pub(super) fn take_listed(&self, listed: Vec<ListedVm>) {
+    pub(super) fn apply_vm_list(&self, listed: Vec<ListedVm>) {
         let mut vms = self.vms.borrow_mut();
         for vm in listed {
             vms.insert(vm.vm, KnownVm { zone: vm.zone, address: vm.address });
@@ -149,42 +149,42 @@
     }
 
     /// Takes over declarations that the platform told, unless they are older than those known.
-    pub(super) fn take_config(&self, config: Arc<DeclaredConfig>) {
+    pub(super) fn apply_config(&self, config: Arc<DeclaredConfig>) {
         let is_newer = self.config.borrow_mut().take_whole(Arc::clone(&config));
         if is_newer {
-            self.put_in_force(config);
+            self.distribute_config(config);
         }
     }
 
     /// Takes over declarations that another VM told; what does not fit is asked for whole.
-    fn take_config_news(&self, news: ConfigNews) {
-        let taken = self.config.borrow_mut().take_news(news);
-        match taken {
-            Ok(true) => self.tell_config(),
+    fn apply_config_update(&self, news: ConfigNews) {
+        let applied = self.config.borrow_mut().take_news(news);
+        match applied {
+            Ok(true) => self.publish_config(),
             Ok(false) => {}
-            Err(error) => log_unusable(&error),
+            Err(error) => log_unusable_update(&error),
         }
     }
 
     /// Tells the newest declarations to all parts of this VM.
-    fn tell_config(&self) {
+    fn publish_config(&self) {
         let newest = self.config.borrow().newest().cloned();
         let Some(config) = newest else { return };
         let event = ZoneEvent::ConfigChanged(Arc::clone(&config));
         try_send(&self.channels.coordination, CoordinationMessage::Event(event));
-        self.put_in_force(config);
+        self.distribute_config(config);
     }
 
     /// Tells declarations to all parts of this VM but the coordination.
-    fn put_in_force(&self, config: Arc<DeclaredConfig>) {
+    fn distribute_config(&self, config: Arc<DeclaredConfig>) {
         log_event(EventName::ConfigInForce, &[("revision", &config.revision)]);
         try_send(&self.channels.orders, OrderMessage::Config(Arc::clone(&config)));
-        self.tell_workers(&WorkerUpdate::Config(config));
+        self.send_to_workers(&WorkerUpdate::Config(config));
         self.notify();
     }
 
     /// Takes over owners; tells what became of them.
-    pub(super) fn take_delta(&self, delta: &ZoneDelta) -> DeltaOutcome {
+    pub(super) fn apply_delta(&self, delta: &ZoneDelta) -> DeltaOutcome {
         let outcome = {
             let mut zones = self.zones.borrow_mut();
             let table = zones.entry(delta.zone).or_insert_with(|| ZoneTable::new(delta.zone));
@@ -192,7 +192,7 @@
         };
         if outcome == DeltaOutcome::Applied {
             let changes: Arc<[RouteChange]> = delta.changes.clone().into();
-            self.tell_workers(&WorkerUpdate::Routes(changes));
+            self.send_to_workers(&WorkerUpdate::Routes(changes));
             self.notify();
         }
         outcome
@@ -239,73 +239,73 @@
     }
 
     /// Takes over an answer; tells whether it came from its zone's coordinator.
-    pub(super) fn take_reply(&self, reply: FollowReply) -> bool {
+    pub(super) fn apply_reply(&self, reply: FollowReply) -> bool {
         let from_coordinator = reply.coordinator.as_ref() == Some(&reply.from);
         if let Some(coordinator) = reply.coordinator {
-            self.note_coordinator(reply.term, coordinator);
+            self.record_coordinator(reply.term, coordinator);
         }
         if let Some(news) = reply.config {
-            self.take_config_news(news);
+            self.apply_config_update(news);
         }
         for delta in &reply.zones {
-            self.take_delta(delta);
+            self.apply_delta(delta);
         }
         from_coordinator
     }
 
-    /// Lets the workers call themselves informed once the owners in this zone are known, and those in the
+    /// Lets the workers call themselves initialized once the owners in this zone are known, and those in the
     /// others too or a while has passed: a zone that is cut off serves what it can.
     pub(super) fn check_readiness(&self) {
         let config = self.config.borrow();
         let Some(config) = config.newest() else { return };
         let zones = self.zones.borrow();
-        let knows =
+        let is_known =
             |zone: &Name| zones.get(&ZoneKey::from(zone)).is_some_and(|t| t.known().is_some());
-        if !knows(&self.own.zone) {
+        if !is_known(&self.own.zone) {
             return;
         }
-        let mut wanted = config.services.iter().flat_map(|service| &service.spec.zones);
-        if wanted.all(knows) || self.started.elapsed() > OTHER_ZONES_WAIT {
-            self.inform_workers();
+        let mut required_zones = config.services.iter().flat_map(|service| &service.spec.zones);
+        if required_zones.all(is_known) || self.started.elapsed() > OTHER_ZONES_TIMEOUT {
+            self.mark_workers_initialized();
         }
     }
 
     /// Tells workers that they have been told enough to serve; one whose ring was full is told later.
-    fn inform_workers(&self) {
+    fn mark_workers_initialized(&self) {
         let lagging = self.lagging.borrow();
-        for (place, worker) in self.channels.workers.iter().enumerate() {
-            if !lagging[place] && !self.channels.readiness.worker(place).is_informed() {
-                try_send(worker, WorkerMessage::Informed);
+        for (index, worker) in self.channels.workers.iter().enumerate() {
+            if !lagging[index] && !self.channels.readiness.worker(index).is_initialized() {
+                try_send(worker, WorkerMessage::Initialized);
             }
         }
     }
 
     fn notify(&self) {
         self.check_readiness();
-        self.changes.send_modify(|count| *count += 1);
+        self.change_counter.send_modify(|count| *count += 1);
     }
 
-    fn tell_workers(&self, update: &WorkerUpdate) {
+    fn send_to_workers(&self, update: &WorkerUpdate) {
         let mut lagging = self.lagging.borrow_mut();
-        for (place, worker) in self.channels.workers.iter().enumerate() {
-            if lagging[place] || !try_send(worker, WorkerMessage::Update(update.clone())) {
-                lagging[place] = !self.tell_all(worker);
+        for (index, worker) in self.channels.workers.iter().enumerate() {
+            if lagging[index] || !try_send(worker, WorkerMessage::Update(update.clone())) {
+                lagging[index] = !self.send_full_state(worker);
             }
         }
     }
 
     /// Tells a worker everything; tells whether it all went in.
-    fn tell_all(&self, worker: &ChannelSender<WorkerMessage>) -> bool {
+    fn send_full_state(&self, worker: &ChannelSender<WorkerMessage>) -> bool {
         let try_send = |update| try_send(worker, WorkerMessage::Update(update));
         let config = self.config.borrow().newest().cloned();
-        let config_in = config.is_none_or(|config| try_send(WorkerUpdate::Config(config)));
+        let config_sent = config.is_none_or(|config| try_send(WorkerUpdate::Config(config)));
         let zones = self.zones.borrow();
         let mut deltas = zones.values().filter_map(|table| table.delta_since(None));
-        config_in && deltas.all(|delta| try_send(WorkerUpdate::Routes(delta.changes.into())))
+        config_sent && deltas.all(|delta| try_send(WorkerUpdate::Routes(delta.changes.into())))
     }
 }
 
-fn log_unusable(error: &ConfigNewsError) {
+fn log_unusable_update(error: &ConfigNewsError) {
     let pairs: [(&str, &dyn std::fmt::Display); 2] = [("part", &"declarations"), ("reason", error)];
     log_event(EventName::NewsUnusable, &pairs);
 }
--- a/crates/nickellead_run/src/platform.rs
+++ b/crates/nickellead_run/src/platform.rs
@@ -21,13 +21,13 @@
 use crate::peers::PeerMessage;
 
 /// How long one watch waits for changes.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Between two reads of the list of VMs.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// The same while keys wait for a VM to be off the list.
-const URGENT_LIST_PERIOD: Duration = Duration::from_millis(200);
+const URGENT_VM_LIST_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(300);
+const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
 
 /// What reaches the platform thread.
 #[derive(Debug)]
@@ -35,17 +35,17 @@
     /// A call of the coordination.
     Call(Box<ZoneAction>),
     /// Whether this VM is to follow the platform itself.
-    Follow(FollowMode),
+    SetWatchMode(WatchMode),
 }
 
 /// How closely a VM follows the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum FollowMode {
+pub(crate) enum WatchMode {
     /// Its coordinator tells it everything.
     #[default]
     Off,
     /// It watches declarations and reads the list of VMs.
-    Calm,
+    Normal,
     /// The same, and keys wait for a VM to be off the list.
     Urgent,
 }
@@ -84,19 +84,24 @@
 ) {
     let client = Rc::new(PlatformClient::new(address, counter));
     let zone = Rc::new(zone);
-    let (follow, followed) = watch::channel(FollowMode::Off);
-    actix_rt::spawn(follow_config(Rc::clone(&client), followed.clone(), channels.clone()));
-    actix_rt::spawn(follow_vms(Rc::clone(&client), Rc::clone(&zone), followed, channels.clone()));
+    let (mode_sender, watch_mode) = watch::channel(WatchMode::Off);
+    actix_rt::spawn(watch_config(Rc::clone(&client), watch_mode.clone(), channels.clone()));
+    actix_rt::spawn(poll_vm_list(
+        Rc::clone(&client),
+        Rc::clone(&zone),
+        watch_mode,
+        channels.clone(),
+    ));
     while let Some(message) = receiver.recv().await {
         match message {
-            PlatformMessage::Follow(wanted) => {
-                follow.send_replace(wanted);
+            PlatformMessage::SetWatchMode(mode) => {
+                mode_sender.send_replace(mode);
             }
             PlatformMessage::Call(action) => {
                 let (client, zone) = (Rc::clone(&client), Rc::clone(&zone));
                 let coordination = channels.coordination.clone();
                 actix_rt::spawn(async move {
-                    if let Some(event) = call(&client, &zone, *action).await {
+                    if let Some(event) = execute(&client, &zone, *action).await {
                         try_send(&coordination, CoordinationMessage::Event(event));
                     }
                 });
@@ -105,24 +110,24 @@
     }
 }
 
-async fn call(client: &PlatformClient, zone: &Name, action: ZoneAction) -> Option<ZoneEvent> {
+async fn execute(client: &PlatformClient, zone: &Name, action: ZoneAction) -> Option<ZoneEvent> {
     match action {
         ZoneAction::ReadMandate(id) => {
-            let answer = client.read(ObjectKind::Mandate, zone).await;
-            Some(ZoneEvent::MandateRead(id, answer))
+            let result = client.read(ObjectKind::Mandate, zone).await;
+            Some(ZoneEvent::MandateRead(id, result))
         }
         ZoneAction::WriteMandate(id, expected, object) => {
-            let answer = client.write(ObjectKind::Mandate, zone, expected, &object).await;
-            Some(ZoneEvent::MandateWritten(id, answer))
+            let result = client.write(ObjectKind::Mandate, zone, expected, &object).await;
+            Some(ZoneEvent::MandateWritten(id, result))
         }
         ZoneAction::ReadPlacement(id, service, name) => {
-            let answer = client.read(ObjectKind::Placement, &placement_name(&name, zone)?).await;
-            Some(ZoneEvent::PlacementRead(id, service, answer))
+            let result = client.read(ObjectKind::Placement, &placement_name(&name, zone)?).await;
+            Some(ZoneEvent::PlacementRead(id, service, result))
         }
         ZoneAction::WritePlacement(id, service, name, expected, object) => {
             let name = placement_name(&name, zone)?;
-            let answer = client.write(ObjectKind::Placement, &name, expected, &object).await;
-            Some(ZoneEvent::PlacementWritten(id, service, answer))
+            let result = client.write(ObjectKind::Placement, &name, expected, &object).await;
+            Some(ZoneEvent::PlacementWritten(id, service, result))
         }
         _ => None,
     }
@@ -133,25 +138,25 @@
     Name::new(&format!("{service}.{zone}")).ok()
 }
 
-async fn follow_config(
+async fn watch_config(
     client: Rc<PlatformClient>,
-    mut followed: watch::Receiver<FollowMode>,
+    mut watch_mode: watch::Receiver<WatchMode>,
     channels: PlatformChannels,
 ) {
     let mut objects = ConfigObjects::default();
     loop {
-        if followed.wait_for(|mode| *mode != FollowMode::Off).await.is_err() {
+        if watch_mode.wait_for(|mode| *mode != WatchMode::Off).await.is_err() {
             return;
         }
         match objects.refresh(&client).await {
-            Ok(true) => tell_config(&objects, &channels),
+            Ok(true) => publish_config(&objects, &channels),
             Ok(false) => {}
-            Err(_) => tokio::time::sleep(FAILURE_PAUSE).await,
+            Err(_) => tokio::time::sleep(FAILURE_BACKOFF).await,
         }
     }
 }
 
-fn tell_config(objects: &ConfigObjects, channels: &PlatformChannels) {
+fn publish_config(objects: &ConfigObjects, channels: &PlatformChannels) {
     let config = Arc::new(objects.to_config());
     let event = ZoneEvent::ConfigChanged(Arc::clone(&config));
     try_send(&channels.coordination, CoordinationMessage::Event(event));
@@ -171,7 +176,7 @@
         let Some(revision) = self.revision else {
             return self.list(client).await;
         };
-        match client.watch(revision, WATCH_WAIT).await {
+        match client.watch(revision, WATCH_TIMEOUT).await {
             Ok(page) if page.revision < revision => {
                 // The platform went back: a stale replica. What is known stays in force.
                 Ok(false)
@@ -228,14 +233,14 @@
     }
 }
 
-async fn follow_vms(
+async fn poll_vm_list(
     client: Rc<PlatformClient>,
     zone: Rc<Name>,
-    mut followed: watch::Receiver<FollowMode>,
+    mut watch_mode: watch::Receiver<WatchMode>,
     channels: PlatformChannels,
 ) {
     loop {
-        if followed.wait_for(|mode| *mode != FollowMode::Off).await.is_err() {
+        if watch_mode.wait_for(|mode| *mode != WatchMode::Off).await.is_err() {
             return;
         }
         if let Ok(vms) = client.vms().await {
@@ -243,13 +248,13 @@
             let names = local.map(|vm| vm.vm.clone()).collect();
             let event = ZoneEvent::VmsListed(names);
             try_send(&channels.coordination, CoordinationMessage::Event(event));
-            try_send(&channels.peers, PeerMessage::Listed(vms));
+            try_send(&channels.peers, PeerMessage::VmList(vms));
         }
-        let period = match *followed.borrow_and_update() {
-            FollowMode::Urgent => URGENT_LIST_PERIOD,
-            FollowMode::Off | FollowMode::Calm => LIST_PERIOD,
+        let interval = match *watch_mode.borrow_and_update() {
+            WatchMode::Urgent => URGENT_VM_LIST_INTERVAL,
+            WatchMode::Off | WatchMode::Normal => VM_LIST_INTERVAL,
         };
         // A change of the mode cuts the pause short.
-        let _ = tokio::time::timeout(period, followed.changed()).await;
+        let _ = tokio::time::timeout(interval, watch_mode.changed()).await;
     }
 }
--- a/crates/nickellead_run/src/readiness.rs
+++ b/crates/nickellead_run/src/readiness.rs
@@ -10,14 +10,14 @@
 /// machine, and callers that came meanwhile were refused.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerProgress {
-    informed: AtomicBool,
+    initialized: AtomicBool,
     revision: AtomicU64,
 }
 
 impl WorkerProgress {
     /// Notes that declarations and owners are known.
-    pub(crate) fn inform(&self) {
-        self.informed.store(true, Ordering::Relaxed);
+    pub(crate) fn set_initialized(&self) {
+        self.initialized.store(true, Ordering::Relaxed);
     }
 
     /// Notes which revision of the declarations decides about requests.
@@ -26,8 +26,8 @@
     }
 
     /// Whether it can serve.
-    pub(crate) fn is_informed(&self) -> bool {
-        self.informed.load(Ordering::Relaxed)
+    pub(crate) fn is_initialized(&self) -> bool {
+        self.initialized.load(Ordering::Relaxed)
     }
 }
 
@@ -40,14 +40,14 @@
 
 impl Readiness {
     /// A VM whose workers know nothing yet.
-    pub(crate) fn of_workers(count: u16) -> Self {
+    pub(crate) fn with_workers(count: u16) -> Self {
         let workers = (0..count).map(|_| WorkerProgress::default()).collect();
         Self { workers, stopping: AtomicBool::new(false) }
     }
 
     /// What one worker has taken over.
-    pub(crate) fn worker(&self, place: usize) -> &WorkerProgress {
-        &self.workers[place]
+    pub(crate) fn worker(&self, index: usize) -> &WorkerProgress {
+        &self.workers[index]
     }
 
     /// The revision of the declarations in force here: on every worker.
@@ -57,13 +57,13 @@
     }
 
     /// Notes that the VM is stopping.
-    pub(crate) fn stop(&self) {
+    pub(crate) fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
     /// Whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        let informed = self.workers.iter().all(WorkerProgress::is_informed);
-        informed && !self.stopping.load(Ordering::Relaxed)
+        let initialized = self.workers.iter().all(WorkerProgress::is_initialized);
+        initialized && !self.stopping.load(Ordering::Relaxed)
     }
 }
--- a/crates/nickellead_run/src/requests.rs
+++ b/crates/nickellead_run/src/requests.rs
@@ -17,7 +17,7 @@
     /// Something to take over.
     Update(WorkerUpdate),
     /// All that it needs to serve went before this.
-    Informed,
+    Initialized,
 }
 
 /// Starts one worker's thread.
@@ -32,8 +32,8 @@
     metrics: ProxyMetrics,
     state: Arc<ServeState>,
 ) -> std::io::Result<JoinHandle<()>> {
-    let place = updates.place;
-    std::thread::Builder::new().name(format!("requests-{place}")).spawn(move || {
+    let index = updates.index;
+    std::thread::Builder::new().name(format!("requests-{index}")).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
             let worker = ProxyWorker::new(limits, seed, metrics);
             runtime.block_on(run(worker, listener, limits, updates, state));
@@ -45,14 +45,14 @@
 pub(crate) struct WorkerUpdates {
     pub(crate) receiver: ChannelReceiver<WorkerMessage>,
     pub(crate) readiness: Arc<Readiness>,
-    /// The worker's place among those of the VM.
-    pub(crate) place: usize,
+    /// The worker's index among those of the VM.
+    pub(crate) index: usize,
 }
 
 impl WorkerUpdates {
     /// Takes over all that comes.
-    async fn take_all(mut self, worker: Rc<ProxyWorker>) {
-        let progress = self.readiness.worker(self.place);
+    async fn apply_all(mut self, worker: Rc<ProxyWorker>) {
+        let progress = self.readiness.worker(self.index);
         while let Some(message) = self.receiver.recv().await {
             match message {
                 WorkerMessage::Update(update) => {
@@ -61,7 +61,7 @@
                         progress.set_revision(config.revision);
                     }
                 }
-                WorkerMessage::Informed => progress.inform(),
+                WorkerMessage::Initialized => progress.set_initialized(),
             }
         }
     }
@@ -74,7 +74,7 @@
     updates: WorkerUpdates,
     state: Arc<ServeState>,
 ) {
-    actix_rt::spawn(updates.take_all(Rc::clone(&worker)));
+    actix_rt::spawn(updates.apply_all(Rc::clone(&worker)));
     let handler = move |request| {
         let worker = Rc::clone(&worker);
         async move { worker.answer(request).await }
