--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -16,7 +16,7 @@
 
 use crate::channel::{ChannelSender, channel, try_send};
 use crate::coordination::{CoordinationChannels, CoordinationMessage};
-use crate::operators::OperatorDuty;
+use crate::operators::OperatorContext;
 use crate::peers::PeerChannels;
 use crate::platform::PlatformChannels;
 use crate::readiness::Readiness;
@@ -26,11 +26,11 @@
 use nickellead_event::{EventName, log_event};
 
 /// Between two ticks of the coordination.
-const TICK_PERIOD: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Most standbys that a mandate names.
-const STANDBYS: usize = 2;
+const MAX_STANDBYS: usize = 2;
 /// Most shards of one service in planned moves at a time.
-const MOVES: usize = 64;
+const MAX_CONCURRENT_MOVES: usize = 64;
 
 /// Why a VM can't start.
 #[derive(Debug, Error)]
@@ -59,11 +59,11 @@
     settings: NodeSettings,
     coordination: ChannelSender<CoordinationMessage>,
     readiness: Arc<Readiness>,
-    callers: Arc<ServeState>,
-    operators: Arc<ServeState>,
-    counter: CallCounter,
-    workers: Vec<JoinHandle<()>>,
-    coordinator: JoinHandle<()>,
+    callers_state: Arc<ServeState>,
+    operators_state: Arc<ServeState>,
+    call_counter: CallCounter,
+    worker_threads: Vec<JoinHandle<()>>,
+    coordination_thread: JoinHandle<()>,
     timer: TimerService,
 }
 
@@ -81,15 +81,15 @@
     let (to_platform, platform_receiver) = channel();
     let (to_peers, peers_receiver) = channel();
     let (to_orders, orders_receiver) = channel();
-    let counter = CallCounter::default();
+    let call_counter = CallCounter::default();
     let metrics = ProxyMetrics::default();
     let mut registry = Registry::with_prefix("nickellead");
     metrics.register(&mut registry);
-    let callers = Arc::new(ServeState::default());
-    let operators = Arc::new(ServeState::default());
+    let callers_state = Arc::new(ServeState::default());
+    let operators_state = Arc::new(ServeState::default());
     let readiness = Arc::new(Readiness::with_workers(settings.workers));
 
-    let mut workers = Vec::new();
+    let mut worker_threads = Vec::new();
     let mut to_workers = Vec::new();
     for index in 0..settings.workers {
         let (to_worker, receiver) = channel();
@@ -99,13 +99,13 @@
             readiness: Arc::clone(&readiness),
             index: usize::from(index),
         };
-        workers.push(requests::build(
+        worker_threads.push(requests::build(
             updates,
             listen("callers_address", settings.callers_address)?,
             settings.limits.to_limits(settings.workers),
             incarnation.0.wrapping_add(u64::from(index)),
             metrics.clone(),
-            Arc::clone(&callers),
+            Arc::clone(&callers_state),
         )?);
     }
     let channels = PeerChannels {
@@ -124,28 +124,34 @@
     let channels =
         PlatformChannels { coordination: to_coordination.clone(), peers: to_peers.clone() };
     let zone = settings.zone.clone();
-    platform::build(settings.platform_address, zone, counter.clone(), platform_receiver, channels)?;
+    platform::build(
+        settings.platform_address,
+        zone,
+        call_counter.clone(),
+        platform_receiver,
+        channels,
+    )?;
     let timeout = settings.lease.to_timings().order_timeout;
     orders::build(orders_receiver, to_coordination.clone(), timeout)?;
     let peers = to_peers.clone();
     let channels =
         CoordinationChannels { platform: to_platform, peers: to_peers, orders: to_orders };
-    let coordinator = coordination::build(
+    let coordination_thread = coordination::build(
         coordinator_settings(&settings, incarnation),
         coordination_receiver,
         channels,
     )?;
-    operators::build(OperatorDuty {
+    operators::build(OperatorContext {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         listener: operators_listener,
         platform: settings.platform_address,
-        counter: counter.clone(),
+        call_counter: call_counter.clone(),
         registry,
         coordination: to_coordination.clone(),
         peers,
         readiness: Arc::clone(&readiness),
-        state: Arc::clone(&operators),
+        state: Arc::clone(&operators_state),
     })?;
     let timer = start_ticks(to_coordination.clone())?;
     log_event(EventName::NodeStarted, &[("vm", &settings.vm), ("zone", &settings.zone)]);
@@ -153,11 +159,11 @@
         settings,
         coordination: to_coordination,
         readiness,
-        callers,
-        operators,
-        counter,
-        workers,
-        coordinator,
+        callers_state,
+        operators_state,
+        call_counter,
+        worker_threads,
+        coordination_thread,
         timer,
     })
 }
@@ -166,7 +172,7 @@
     /// Calls of the platform that this VM made.
     #[must_use]
     pub fn platform_calls(&self) -> u64 {
-        self.counter.count()
+        self.call_counter.count()
     }
 
     /// Whether callers may be sent to this VM.
@@ -179,16 +185,17 @@
     ///
     /// Returns whether all of it was done within the bound of the settings.
     pub fn stop(self) -> bool {
-        let limit = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
-        let end = Instant::now() + limit;
+        let timeout = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
+        let deadline = Instant::now() + timeout;
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
         self.readiness.set_stopping();
         try_send(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
         std::thread::sleep(Duration::from_millis(u64::from(self.settings.stop_linger_ms)));
-        self.callers.stop();
-        let workers_done = self.workers.into_iter().all(|worker| join_until(worker, end));
-        let handed_over = join_until(self.coordinator, end);
-        self.operators.stop();
+        self.callers_state.stop();
+        let workers_done =
+            self.worker_threads.into_iter().all(|worker| join_before(worker, deadline));
+        let handed_over = join_before(self.coordination_thread, deadline);
+        self.operators_state.stop();
         self.timer.stop();
         let pairs: [(&str, &dyn std::fmt::Display); 3] = [
             ("vm", &self.settings.vm),
@@ -200,10 +207,10 @@
     }
 }
 
-fn join_until(thread: JoinHandle<()>, end: Instant) -> bool {
+fn join_before(thread: JoinHandle<()>, deadline: Instant) -> bool {
     const POLL: Duration = Duration::from_millis(5);
     while !thread.is_finished() {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return false;
         }
         std::thread::sleep(POLL);
@@ -242,13 +249,13 @@
 }
 
 fn known_vms(settings: &NodeSettings) -> Vec<PeerVm> {
-    let known = |peer: &crate::settings::PeerSettings| PeerVm {
+    let to_peer_vm = |peer: &crate::settings::PeerSettings| PeerVm {
         vm: peer.vm.clone(),
         zone: peer.zone.clone(),
         address: peer.address,
         incarnation: Incarnation::ZERO,
     };
-    settings.peers.iter().map(known).collect()
+    settings.peers.iter().map(to_peer_vm).collect()
 }
 
 fn coordinator_settings(settings: &NodeSettings, incarnation: Incarnation) -> CoordinatorSettings {
@@ -256,8 +263,8 @@
         zone: settings.zone.clone(),
         vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
         timings: settings.lease.to_timings(),
-        max_standbys: STANDBYS,
-        max_concurrent_moves: MOVES,
+        max_standbys: MAX_STANDBYS,
+        max_concurrent_moves: MAX_CONCURRENT_MOVES,
         seed: incarnation.0,
     }
 }
@@ -269,6 +276,6 @@
         try_send(&coordination, CoordinationMessage::Event(ZoneEvent::Tick));
         !coordination.is_closed()
     };
-    timer.subscribe(TICK_PERIOD, Box::new(sink));
+    timer.subscribe(TICK_INTERVAL, Box::new(sink));
     Ok(timer)
 }
--- a/crates/nickellead_run/src/object_status.rs
+++ b/crates/nickellead_run/src/object_status.rs
@@ -17,23 +17,23 @@
 
 impl StatusView<'_> {
     /// Puts the status beside the spec.
-    pub(crate) fn describe(&self, object: &mut ResourceObject) {
+    pub(crate) fn add_status(&self, object: &mut ResourceObject) {
         let status = match object.kind {
-            ObjectKind::Service => self.service(object),
-            ObjectKind::Target => self.target(object),
+            ObjectKind::Service => self.service_status(object),
+            ObjectKind::Target => self.target_status(object),
             ObjectKind::Mandate | ObjectKind::Placement => return,
         };
         object.status = Some(status);
     }
 
-    fn service(&self, object: &ResourceObject) -> Value {
+    fn service_status(&self, object: &ResourceObject) -> Value {
         let spec: Option<ServiceSpec> = serde_json::from_value(object.spec.clone()).ok();
         let zones = spec.iter().flat_map(|spec| &spec.zones);
-        let zones: Vec<Value> = zones.map(|zone| self.zone(object, zone)).collect();
-        json!({"seen_by": self.vm, "in_force": self.is_in_force(object), "zones": zones})
+        let zones: Vec<Value> = zones.map(|zone| self.zone_status(object, zone)).collect();
+        json!({"seen_by": self.vm, "in_force": self.is_active(object), "zones": zones})
     }
 
-    fn zone(&self, object: &ResourceObject, zone: &Name) -> Value {
+    fn zone_status(&self, object: &ResourceObject, zone: &Name) -> Value {
         let Some(summary) = self.zones.get(&ZoneKey::from(zone)) else {
             return json!({"zone": zone, "known": false});
         };
@@ -51,13 +51,13 @@
         })
     }
 
-    fn target(&self, object: &ResourceObject) -> Value {
+    fn target_status(&self, object: &ResourceObject) -> Value {
         let key = TargetKey::from(&object.name);
         let shards: u32 = self.zones.values().filter_map(|zone| zone.targets.get(&key)).sum();
-        json!({"seen_by": self.vm, "in_force": self.is_in_force(object), "shards": shards})
+        json!({"seen_by": self.vm, "in_force": self.is_active(object), "shards": shards})
     }
 
-    fn is_in_force(&self, object: &ResourceObject) -> bool {
+    fn is_active(&self, object: &ResourceObject) -> bool {
         self.revision >= object.version
     }
 }
--- a/crates/nickellead_run/src/operators.rs
+++ b/crates/nickellead_run/src/operators.rs
@@ -25,21 +25,21 @@
 use crate::readiness::Readiness;
 
 /// Connections of operators.
-const CONNECTIONS_MAX: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 /// Largest object that may be written, in bytes.
-const BODY_LIMIT: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Longest time a watch is held.
-const WATCH_MAX: Duration = Duration::from_secs(30);
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long the coordination's answer is waited for.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the operators' thread needs.
-pub(crate) struct OperatorDuty {
+pub(crate) struct OperatorContext {
     pub(crate) vm: Name,
     pub(crate) zone: Name,
     pub(crate) listener: TcpListener,
     pub(crate) platform: SocketAddr,
-    pub(crate) counter: CallCounter,
+    pub(crate) call_counter: CallCounter,
     pub(crate) registry: Registry,
     pub(crate) coordination: ChannelSender<CoordinationMessage>,
     pub(crate) peers: ChannelSender<PeerMessage>,
@@ -51,26 +51,26 @@
 ///
 /// # Errors
 /// The system's error when it refuses a thread.
-pub(crate) fn build(duty: OperatorDuty) -> std::io::Result<JoinHandle<()>> {
+pub(crate) fn build(context: OperatorContext) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("operators".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
-            runtime.block_on(run(duty));
+            runtime.block_on(run(context));
         }
     })
 }
 
-async fn run(duty: OperatorDuty) {
-    let state = Arc::clone(&duty.state);
-    let client = PlatformClient::new(duty.platform, duty.counter.clone());
-    let Ok(listener) = duty.listener.try_clone() else {
+async fn run(context: OperatorContext) {
+    let state = Arc::clone(&context.state);
+    let client = PlatformClient::new(context.platform, context.call_counter.clone());
+    let Ok(listener) = context.listener.try_clone() else {
         return;
     };
-    let api = Rc::new(OperatorApi { duty, client });
+    let api = Rc::new(OperatorApi { context, client });
     let handler = move |request| {
         let api = Rc::clone(&api);
-        async move { api.answer(request).await.unwrap_or_else(ApiError::into_response) }
+        async move { api.respond(request).await.unwrap_or_else(ApiError::into_response) }
     };
-    serve_http(listener, CONNECTIONS_MAX, state, handler).await;
+    serve_http(listener, MAX_CONNECTIONS, state, handler).await;
 }
 
 /// Why the API refuses.
@@ -127,16 +127,16 @@
 }
 
 struct OperatorApi {
-    duty: OperatorDuty,
+    context: OperatorContext,
     client: PlatformClient,
 }
 
 impl OperatorApi {
-    async fn answer(&self, mut request: Request) -> Result<Response<BoxBody>, ApiError> {
+    async fn respond(&self, mut request: Request) -> Result<Response<BoxBody>, ApiError> {
         let path = request.path().to_owned();
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
         let method = request.method().clone();
-        match (method.clone(), parts.as_slice()) {
+        match (method.clone(), segments.as_slice()) {
             (Method::GET, ["healthz"]) => Ok(text(StatusCode::OK, "live\n")),
             (Method::GET, ["readyz"]) => Ok(self.readiness()),
             (Method::GET, ["metrics"]) => Ok(self.metrics()),
@@ -144,7 +144,7 @@
             (Method::GET, ["v1", "watch"]) => self.watch(&request).await,
             (Method::GET, ["v1", "objects"]) => {
                 let mut list = self.client.list_declared().await?;
-                self.describe(&mut list.items).await;
+                self.add_statuses(&mut list.items).await;
                 Ok(reply(StatusCode::OK, &list))
             }
             (method, ["v1", "objects", kind, name]) => {
@@ -153,14 +153,14 @@
                     Name::new(name).map_err(|error| FieldError::new("name", error.to_string()))?;
                 let body = read_body(&mut request).await?;
                 let query = request.uri().query().unwrap_or_default().to_owned();
-                self.object(method, kind, &name, &query, &body).await
+                self.handle_object(method, kind, &name, &query, &body).await
             }
             (Method::GET, _) => Err(ApiError::NotFound),
             _ => Err(ApiError::MethodNotAllowed),
         }
     }
 
-    async fn object(
+    async fn handle_object(
         &self,
         method: Method,
         kind: ObjectKind,
@@ -170,7 +170,7 @@
     ) -> Result<Response<BoxBody>, ApiError> {
         if method == Method::GET {
             let mut object = self.client.get(kind, name).await?;
-            self.describe(std::slice::from_mut(&mut object)).await;
+            self.add_statuses(std::slice::from_mut(&mut object)).await;
             return Ok(reply(StatusCode::OK, &object));
         }
         if !kind.is_declared() {
@@ -188,13 +188,13 @@
     }
 
     /// Puts a status beside each spec, as far as this VM knows it.
-    async fn describe(&self, objects: &mut [ResourceObject]) {
+    async fn add_statuses(&self, objects: &mut [ResourceObject]) {
         let (sender, receiver) = oneshot::channel();
-        try_send(&self.duty.peers, PeerMessage::Summarize(sender));
+        try_send(&self.context.peers, PeerMessage::Summarize(sender));
         let Ok(Ok(zones)) = tokio::time::timeout(STATUS_TIMEOUT, receiver).await else { return };
-        let revision = self.duty.readiness.revision();
-        let view = StatusView { vm: &self.duty.vm, revision, zones: &zones };
-        objects.iter_mut().for_each(|object| view.describe(object));
+        let revision = self.context.readiness.revision();
+        let view = StatusView { vm: &self.context.vm, revision, zones: &zones };
+        objects.iter_mut().for_each(|object| view.add_status(object));
     }
 
     async fn put(
@@ -204,14 +204,14 @@
         expected: Version,
         body: &[u8],
     ) -> Result<Version, ApiError> {
-        let old = match self.client.get(kind, name).await {
+        let current = match self.client.get(kind, name).await {
             Ok(object) => Some(object),
             Err(PlatformError::NotFound) => None,
             Err(error) => return Err(error.into()),
         };
         let spec = match kind {
-            ObjectKind::Service => check_service(body, old.as_ref())?,
-            ObjectKind::Target => self.check_target(body, old.as_ref()).await?,
+            ObjectKind::Service => check_service(body, current.as_ref())?,
+            ObjectKind::Target => self.check_target(body, current.as_ref()).await?,
             ObjectKind::Mandate | ObjectKind::Placement => return Err(ApiError::MethodNotAllowed),
         };
         match self.client.put(kind, name, expected, &spec).await {
@@ -229,12 +229,14 @@
     async fn check_target(
         &self,
         body: &[u8],
-        old: Option<&ResourceObject>,
+        current: Option<&ResourceObject>,
     ) -> Result<serde_json::Value, ApiError> {
         let spec: TargetSpec = read_json(body)?;
         spec.check()?;
-        if let Some(old) = old.and_then(|old| serde_json::from_value(old.spec.clone()).ok()) {
-            spec.check_change(&old)?;
+        if let Some(current) =
+            current.and_then(|current| serde_json::from_value(current.spec.clone()).ok())
+        {
+            spec.check_change(&current)?;
         }
         let service = match self.client.get(ObjectKind::Service, &spec.service).await {
             Ok(object) => object,
@@ -258,10 +260,10 @@
     ) -> Result<Version, ApiError> {
         if kind == ObjectKind::Service {
             let list = self.client.list_declared().await?;
-            let uses = |item: &ResourceObject| {
+            let is_target_of_service = |item: &ResourceObject| {
                 item.kind == ObjectKind::Target && item.spec["service"] == name.as_str()
             };
-            if list.items.iter().any(uses) {
+            if list.items.iter().any(is_target_of_service) {
                 let reason = "has targets still: drain and delete them first";
                 return Err(FieldError::new("name", reason).into());
             }
@@ -273,13 +275,13 @@
         let query = request.uri().query().unwrap_or_default();
         let from = query_number(query, "from")
             .ok_or_else(|| FieldError::new("from", "must be a revision"))?;
-        let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(10_000));
-        let page = self.client.watch(Version(from), wait.min(WATCH_MAX)).await?;
+        let timeout = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(10_000));
+        let page = self.client.watch(Version(from), timeout.min(MAX_WATCH_TIMEOUT)).await?;
         Ok(reply(StatusCode::OK, &page))
     }
 
     fn readiness(&self) -> Response<BoxBody> {
-        if self.duty.readiness.is_ready() {
+        if self.context.readiness.is_ready() {
             text(StatusCode::OK, "ready\n")
         } else {
             text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
@@ -288,7 +290,7 @@
 
     fn metrics(&self) -> Response<BoxBody> {
         let mut body = String::new();
-        match encode(&mut body, &self.duty.registry) {
+        match encode(&mut body, &self.context.registry) {
             Ok(()) => text(StatusCode::OK, &body),
             Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "metrics can't be written\n"),
         }
@@ -296,25 +298,25 @@
 
     async fn status(&self) -> Response<BoxBody> {
         let (sender, receiver) = oneshot::channel();
-        try_send(&self.duty.coordination, CoordinationMessage::Status(sender));
+        try_send(&self.context.coordination, CoordinationMessage::Status(sender));
         let status = tokio::time::timeout(STATUS_TIMEOUT, receiver).await;
         let coordination = match status {
-            Ok(Ok(status)) => to_status(&status),
+            Ok(Ok(status)) => to_status_json(&status),
             _ => serde_json::Value::Null,
         };
         let body = json!({
-            "vm": self.duty.vm,
-            "zone": self.duty.zone,
-            "ready": self.duty.readiness.is_ready(),
-            "config_revision": self.duty.readiness.revision(),
-            "platform_calls": self.duty.counter.count(),
+            "vm": self.context.vm,
+            "zone": self.context.zone,
+            "ready": self.context.readiness.is_ready(),
+            "config_revision": self.context.readiness.revision(),
+            "platform_calls": self.context.call_counter.count(),
             "coordination": coordination,
         });
         reply(StatusCode::OK, &body)
     }
 }
 
-fn to_status(status: &CoordinationStatus) -> serde_json::Value {
+fn to_status_json(status: &CoordinationStatus) -> serde_json::Value {
     let target = |target: &nickellead_lease::TargetStatus| {
         json!({
             "name": target.name,
@@ -332,11 +334,16 @@
     })
 }
 
-fn check_service(body: &[u8], old: Option<&ResourceObject>) -> Result<serde_json::Value, ApiError> {
+fn check_service(
+    body: &[u8],
+    current: Option<&ResourceObject>,
+) -> Result<serde_json::Value, ApiError> {
     let spec: ServiceSpec = read_json(body)?;
     spec.check()?;
-    if let Some(old) = old.and_then(|old| serde_json::from_value(old.spec.clone()).ok()) {
-        spec.check_change(&old)?;
+    if let Some(current) =
+        current.and_then(|current| serde_json::from_value(current.spec.clone()).ok())
+    {
+        spec.check_change(&current)?;
     }
     Ok(to_value(&spec))
 }
@@ -349,11 +356,11 @@
     use futures_util::StreamExt;
     let mut payload = request.take_payload();
     let mut body = Vec::new();
-    while let Some(Ok(part)) = payload.next().await {
-        if body.len() + part.len() > BODY_LIMIT {
+    while let Some(Ok(chunk)) = payload.next().await {
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(ApiError::TooLarge);
         }
-        body.extend_from_slice(&part);
+        body.extend_from_slice(&chunk);
     }
     Ok(body)
 }
--- a/crates/nickellead_run/src/orders.rs
+++ b/crates/nickellead_run/src/orders.rs
@@ -17,7 +17,7 @@
 /// Path of orders at a target.
 const ORDER_PATH: &str = "/nickellead/order";
 /// Largest answer of a target to an order, in bytes.
-const REPLY_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// What reaches the orders thread.
 #[derive(Debug)]
@@ -54,10 +54,10 @@
     while let Some(message) = receiver.recv().await {
         match message {
             OrderMessage::Config(config) => {
-                let address = |target: &nickellead_api::DeclaredTarget| {
+                let to_entry = |target: &nickellead_api::DeclaredTarget| {
                     (TargetKey::from(&target.name), target.spec.address)
                 };
-                addresses.extend(config.targets.iter().map(address));
+                addresses.extend(config.targets.iter().map(to_entry));
             }
             OrderMessage::Send(order) => {
                 let Some(address) = addresses.get(&order.target).copied() else {
@@ -87,6 +87,6 @@
     if !response.status().is_success() {
         return None;
     }
-    let reply: TargetReply = response.json().limit(REPLY_LIMIT).await.ok()?;
+    let reply: TargetReply = response.json().limit(MAX_REPLY_BYTES).await.ok()?;
     (reply.target == order.target).then_some(reply)
 }
--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Most request workers of one VM.
-const WORKERS_MAX: u16 = 64;
+const MAX_WORKERS: u16 = 64;
 
 /// Settings of one entry VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,17 +96,17 @@
 
 impl Default for LeaseSettings {
     fn default() -> Self {
-        let times = LeaseTimings::default();
-        let millis = |length: Duration| length.as_millis() as u32;
+        let timings = LeaseTimings::default();
+        let millis = |duration: Duration| duration.as_millis() as u32;
         Self {
-            heartbeat_ms: millis(times.heartbeat_interval),
-            lease_ms: millis(times.lease_duration),
-            margin_ms: millis(times.lease_margin),
-            order_timeout_ms: millis(times.order_timeout),
-            renewal_ms: millis(times.renewal_interval),
-            standstill_ms: millis(times.mandate_timeout),
-            detach_after_ms: millis(times.detach_timeout),
-            drift_ppm: times.drift_bound.parts_per_million,
+            heartbeat_ms: millis(timings.heartbeat_interval),
+            lease_ms: millis(timings.lease_duration),
+            margin_ms: millis(timings.lease_margin),
+            order_timeout_ms: millis(timings.order_timeout),
+            renewal_ms: millis(timings.renewal_interval),
+            standstill_ms: millis(timings.mandate_timeout),
+            detach_after_ms: millis(timings.detach_timeout),
+            drift_ppm: timings.drift_bound.parts_per_million,
         }
     }
 }
@@ -115,15 +115,15 @@
     /// The times as the state machines take them.
     #[must_use]
     pub fn to_timings(self) -> LeaseTimings {
-        let length = |millis: u32| Duration::from_millis(u64::from(millis));
+        let duration = |millis: u32| Duration::from_millis(u64::from(millis));
         LeaseTimings {
-            heartbeat_interval: length(self.heartbeat_ms),
-            lease_duration: length(self.lease_ms),
-            lease_margin: length(self.margin_ms),
-            order_timeout: length(self.order_timeout_ms),
-            renewal_interval: length(self.renewal_ms),
-            mandate_timeout: length(self.standstill_ms),
-            detach_timeout: length(self.detach_after_ms),
+            heartbeat_interval: duration(self.heartbeat_ms),
+            lease_duration: duration(self.lease_ms),
+            lease_margin: duration(self.margin_ms),
+            order_timeout: duration(self.order_timeout_ms),
+            renewal_interval: duration(self.renewal_ms),
+            mandate_timeout: duration(self.standstill_ms),
+            detach_timeout: duration(self.detach_after_ms),
             drift_bound: nickellead_core::DriftBound { parts_per_million: self.drift_ppm },
         }
     }
@@ -188,8 +188,8 @@
     /// # Errors
     /// Returns the first field that is wrong, and why.
     pub fn check(&self) -> Result<(), FieldError> {
-        if self.workers == 0 || self.workers > WORKERS_MAX {
-            let reason = format!("must be from 1 to {WORKERS_MAX}");
+        if self.workers == 0 || self.workers > MAX_WORKERS {
+            let reason = format!("must be from 1 to {MAX_WORKERS}");
             return Err(FieldError::new("workers", reason));
         }
         self.check_addresses()?;
@@ -197,8 +197,8 @@
         if self.stop_limit_ms <= self.stop_linger_ms {
             return Err(FieldError::new("stop_limit_ms", "must be more than stop_linger_ms"));
         }
-        let times = self.lease.to_timings();
-        times
+        let timings = self.lease.to_timings();
+        timings
             .validate()
             .map_err(|(field, reason)| FieldError::new(format!("lease.{field}"), reason))
     }
@@ -209,17 +209,17 @@
             ("operators_address", self.operators_address),
             ("peers_address", self.peers_address),
         ];
-        for (place, (field, address)) in own.iter().enumerate() {
+        for (index, (field, address)) in own.iter().enumerate() {
             if address.port() == 0 {
                 return Err(FieldError::new(*field, "must have a port"));
             }
-            if own[..place].iter().any(|(_, other)| other == address) {
+            if own[..index].iter().any(|(_, other)| other == address) {
                 return Err(FieldError::new(*field, "is used for something else already"));
             }
         }
-        for (place, peer) in self.peers.iter().enumerate() {
+        for (index, peer) in self.peers.iter().enumerate() {
             if peer.vm == self.vm && peer.address != self.peers_address {
-                let field = format!("peers[{place}].address");
+                let field = format!("peers[{index}].address");
                 return Err(FieldError::new(field, "differs from this VM's peers_address"));
             }
         }
