--- a/crates/nickellead_run/src/channel.rs
+++ b/crates/nickellead_run/src/channel.rs
@@ -1,24 +1,24 @@
-//! The bounded rings that join threads.
+//! Bounded channels between the threads of a VM.
 
 use tokio::sync::mpsc;
 
-/// Sending end of a ring.
+/// Sender of a bounded channel.
 pub(crate) type ChannelSender<T> = mpsc::Sender<T>;
-/// Receiving end of a ring.
+/// Receiver of a bounded channel.
 pub(crate) type ChannelReceiver<T> = mpsc::Receiver<T>;
 
-/// Messages that a ring holds.
+/// Capacity of each channel, in messages.
 pub(crate) const CHANNEL_CAPACITY: usize = 4_096;
 
-/// A ring between two threads.
+/// Creates a channel of [`CHANNEL_CAPACITY`] messages.
 pub(crate) fn channel<T>() -> (ChannelSender<T>, ChannelReceiver<T>) {
     mpsc::channel(CHANNEL_CAPACITY)
 }
 
-/// Sends without waiting; tells whether the message went in.
+/// Sends without blocking; returns whether the channel accepted the message.
 ///
-/// A full ring loses the message: every message here is repeated by a later
-/// tick, heartbeat or delta.
+/// A full or closed channel drops the message. A later tick, heartbeat or delta
+/// repeats it.
 pub(crate) fn try_send<T>(sender: &ChannelSender<T>, message: T) -> bool {
     sender.try_send(message).is_ok()
 }
--- a/crates/nickellead_run/src/lib.rs
+++ b/crates/nickellead_run/src/lib.rs
@@ -1,8 +1,8 @@
-//! One entry VM: its threads, joined by bounded channels.
+//! One entry VM: threads that exchange messages over bounded channels.
 //!
-//! [`start_node`] builds every duty in one schedule: timer, coordination,
-//! orders to targets, platform, peers, request workers and the operators' API.
-//! Each duty has one module with one `build` function that starts its thread.
+//! [`start_node`] starts the threads of a VM: timer, coordination, orders to
+//! targets, platform, peers, request workers and the operators' API. Each has a
+//! module with one `build` function that starts the thread.
 
 mod channel;
 mod coordination;
