--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -1,4 +1,4 @@
-//! Building one VM out of its duties, and stopping it.
+//! Start and planned stop of one VM.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -25,35 +25,35 @@
 use crate::{coordination, operators, orders, peers, platform, requests};
 use nickellead_event::{EventName, log_event};
 
-/// Between two ticks of the coordination.
+/// Interval of the ticks that drive the coordination.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Most standbys that a mandate names.
+/// Maximum number of standbys that a mandate (leader lease) names.
 const MAX_STANDBYS: usize = 2;
-/// Most shards of one service in planned moves at a time.
+/// Maximum number of a service's shards in planned moves at a time.
 const MAX_CONCURRENT_MOVES: usize = 64;
 
 /// Why a VM can't start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address can't be listened on.
-    #[error("{field} {address} can't be listened on: {reason}")]
+    /// A listener can't be bound to its address.
+    #[error("can't listen on {address} ({field}): {reason}")]
     Address {
-        /// The setting at fault.
+        /// Name of the setting that holds the address.
         field: &'static str,
-        /// The address.
+        /// The address that can't be bound.
         address: std::net::SocketAddr,
-        /// The system's word.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
-    /// A chart of this build is faulty.
+    /// A state chart embedded in this build is invalid.
     #[error("{0}")]
     Chart(#[from] nickellead_chart::ChartError),
-    /// The system refused a thread.
-    #[error("a thread can't be started: {0}")]
+    /// The operating system failed to start a thread.
+    #[error("failed to start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// A running VM.
+/// Handle of a running VM, used to observe and stop it.
 #[derive(Debug)]
 pub struct NodeHandle {
     settings: NodeSettings,
@@ -67,10 +67,10 @@
     timer: TimerService,
 }
 
-/// Starts every duty of one VM.
+/// Starts all threads of one VM.
 ///
 /// # Errors
-/// A [`NodeError`]; nothing is left running that serves callers.
+/// Returns a [`NodeError`]; no thread that serves callers is left running.
 pub fn start_node(settings: NodeSettings) -> Result<NodeHandle, NodeError> {
     LeaseCharts::load()?;
     check_addresses(&settings)?;
@@ -169,21 +169,21 @@
 }
 
 impl NodeHandle {
-    /// Calls of the platform that this VM made.
+    /// Number of calls to the platform that this VM made.
     #[must_use]
     pub fn platform_calls(&self) -> u64 {
         self.call_counter.count()
     }
 
-    /// Whether callers may be sent to this VM.
+    /// Whether a balancer may send callers to this VM.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Stops as planned: readiness off, mandate handed over, requests finished.
+    /// Stops the VM: turns readiness off, hands the mandate over and finishes running requests.
     ///
-    /// Returns whether all of it was done within the bound of the settings.
+    /// Returns whether all of this completed within `stop_limit_ms`.
     pub fn stop(self) -> bool {
         let timeout = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
         let deadline = Instant::now() + timeout;
@@ -218,7 +218,7 @@
     thread.join().is_ok()
 }
 
-/// Finds out before anything starts whether the addresses are free.
+/// Fails if an address is already in use, before any thread starts.
 fn check_addresses(settings: &NodeSettings) -> Result<(), NodeError> {
     let addresses = [
         ("callers_address", settings.callers_address),
@@ -269,7 +269,7 @@
     }
 }
 
-/// Subscribes the coordination to the timer for as long as its thread lives.
+/// Sends ticks to the coordination until its channel is closed.
 fn start_ticks(coordination: ChannelSender<CoordinationMessage>) -> std::io::Result<TimerService> {
     let timer = TimerService::start()?;
     let sink = move |_| {
