--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The coordination thread: runs the zone's state machine and hands out its actions.
+//! Coordination thread: runs the zone's state machine and dispatches its actions.
 
 use std::thread::JoinHandle;
 
@@ -16,20 +16,20 @@
 use crate::platform::{PlatformMessage, WatchMode};
 use nickellead_event::{EventName, log_event};
 
-/// What reaches the coordination thread.
+/// Message to the coordination thread.
 #[derive(Debug)]
 pub(crate) enum CoordinationMessage {
     /// An event for the state machine.
     Event(ZoneEvent),
-    /// A detached coordinator's batch, to be answered.
+    /// Batch of owner records of a detached coordinator, and where to send the response.
     Record(RecordBatch, oneshot::Sender<RecordResponse>),
-    /// A successor's wish, to be answered with the highest term known.
+    /// Request of a successor to step down; the response is the highest known term.
     StepDown(Term, oneshot::Sender<Term>),
-    /// An operator's question.
+    /// Status request of an operator.
     Status(oneshot::Sender<CoordinationStatus>),
 }
 
-/// What operators may ask of the coordination.
+/// State of the coordination that the operators' API shows.
 #[derive(Clone, Debug)]
 pub(crate) struct CoordinationStatus {
     pub(crate) phase: MandatePhase,
@@ -39,7 +39,7 @@
     pub(crate) standbys: Vec<Name>,
 }
 
-/// Rings from coordination to the other duties.
+/// Channels from the coordination to the other threads.
 pub(crate) struct CoordinationChannels {
     pub(crate) platform: ChannelSender<PlatformMessage>,
     pub(crate) peers: ChannelSender<PeerMessage>,
@@ -50,17 +50,17 @@
     coordinator: ZoneCoordinator,
     channels: CoordinationChannels,
     zone: Name,
-    /// What was last told to the peers' thread.
+    /// Term and version of the last delta sent to the peers thread.
     published: Option<(Term, Version)>,
     announced_leading: Option<bool>,
     standbys: Vec<VmIncarnation>,
     watch_mode: Option<WatchMode>,
 }
 
-/// Starts the thread.
+/// Starts the coordination thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     settings: CoordinatorSettings,
     receiver: ChannelReceiver<CoordinationMessage>,
@@ -102,7 +102,7 @@
             CoordinationMessage::Record(batch, responder) => {
                 for action in self.step(ZoneEvent::RecordBatchReceived(batch)) {
                     if let ZoneAction::SendRecordResponse(response) = action {
-                        // The asker may be gone by now.
+                        // The requester may have dropped its receiver.
                         let _ = responder.send(response);
                         break;
                     }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Tells the other duties what changed: owners, and whether this VM coordinates.
+    /// Sends changes of owners, standbys, leadership and watch mode to the other threads.
     fn publish(&mut self) {
         let is_leading = self.coordinator.publishes();
         let coordinator_lost = self.coordinator.has_lost_coordinator(BootClock.now());
