--- a/crates/nickellead_run/src/object_status.rs
+++ b/crates/nickellead_run/src/object_status.rs
@@ -1,4 +1,4 @@
-//! Status of declared objects, as one VM sees it.
+//! Status of declared objects, as known to one VM.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use nickellead_route::ZoneSummary;
 use serde_json::{Value, json};
 
-/// What a VM knows when it tells an object's status.
+/// State of a VM from which it computes the status of objects.
 pub(crate) struct StatusView<'a> {
     pub(crate) vm: &'a Name,
-    /// Revision of the declarations in force on this VM.
+    /// Revision of the declarations active on this VM.
     pub(crate) revision: Version,
     pub(crate) zones: &'a BTreeMap<ZoneKey, ZoneSummary>,
 }
 
 impl StatusView<'_> {
-    /// Puts the status beside the spec.
+    /// Sets the status of a service or target; other kinds have none.
     pub(crate) fn add_status(&self, object: &mut ResourceObject) {
         let status = match object.kind {
             ObjectKind::Service => self.service_status(object),
