--- a/crates/nickellead_run/src/operators.rs
+++ b/crates/nickellead_run/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' thread: resource API, status, metrics, liveness and readiness.
+//! Operators' thread: resource API, status, metrics, liveness and readiness.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -24,16 +24,16 @@
 use crate::peers::PeerMessage;
 use crate::readiness::Readiness;
 
-/// Connections of operators.
+/// Maximum number of concurrent connections from operators.
 const MAX_CONNECTIONS: usize = 256;
-/// Largest object that may be written, in bytes.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Longest time a watch is held.
+/// Maximum time that a watch request is held open.
 const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long the coordination's answer is waited for.
+/// Timeout of status requests to the coordination and peers threads.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the operators' thread needs.
+/// Dependencies of the operators' thread.
 pub(crate) struct OperatorContext {
     pub(crate) vm: Name,
     pub(crate) zone: Name,
@@ -47,10 +47,10 @@
     pub(crate) state: Arc<ServeState>,
 }
 
-/// Starts the thread.
+/// Starts the operators' thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(context: OperatorContext) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("operators".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
@@ -73,7 +73,7 @@
     serve_http(listener, MAX_CONNECTIONS, state, handler).await;
 }
 
-/// Why the API refuses.
+/// Reason why the API rejects a request.
 #[derive(Debug)]
 enum ApiError {
     NotFound,
@@ -88,11 +88,11 @@
         match self {
             Self::NotFound => error(StatusCode::NOT_FOUND, "not-found", "no such path or object"),
             Self::MethodNotAllowed => {
-                let reason = "this kind or path does not take the method";
+                let reason = "this kind or path does not support the method";
                 error(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", reason)
             }
             Self::TooLarge => {
-                error(StatusCode::PAYLOAD_TOO_LARGE, "too-large", "at most 1 MiB may be sent")
+                error(StatusCode::PAYLOAD_TOO_LARGE, "too-large", "the request body exceeds 1 MiB")
             }
             Self::Field(field) => reply(
                 StatusCode::UNPROCESSABLE_ENTITY,
@@ -102,10 +102,10 @@
             Self::Platform(PlatformError::Conflict(version)) => reply(
                 StatusCode::CONFLICT,
                 &json!({"error": "conflict", "version": version,
-                    "reason": "the object changed: read it, decide anew, write with its version"}),
+                    "reason": "the object has changed: read it again, write with its version"}),
             ),
             Self::Platform(PlatformError::Compacted) => {
-                error(StatusCode::GONE, "compacted", "list anew, then watch from its revision")
+                error(StatusCode::GONE, "compacted", "list again and watch from the new revision")
             }
             Self::Platform(other) => {
                 error(StatusCode::SERVICE_UNAVAILABLE, "platform", &other.to_string())
@@ -177,7 +177,7 @@
             return Err(ApiError::MethodNotAllowed);
         }
         let expected = query_number(query, "version")
-            .ok_or_else(|| FieldError::new("version", "must be given: 0 to create"))?;
+            .ok_or_else(|| FieldError::new("version", "is required: 0 to create an object"))?;
         let expected = Version(expected);
         let version = match method {
             Method::PUT => self.put(kind, name, expected, body).await?,
@@ -187,7 +187,7 @@
         Ok(reply(StatusCode::OK, &json!({"kind": kind, "name": name, "version": version})))
     }
 
-    /// Puts a status beside each spec, as far as this VM knows it.
+    /// Adds a status to each object; leaves it out if the peers thread does not respond in time.
     async fn add_statuses(&self, objects: &mut [ResourceObject]) {
         let (sender, receiver) = oneshot::channel();
         try_send(&self.context.peers, PeerMessage::Summarize(sender));
@@ -215,7 +215,7 @@
             ObjectKind::Mandate | ObjectKind::Placement => return Err(ApiError::MethodNotAllowed),
         };
         match self.client.put(kind, name, expected, &spec).await {
-            // The answer may be lost after the write took effect: read back.
+            // The write may have taken effect although its response was lost: read it back.
             Err(PlatformError::Unavailable(reason)) => match self.client.get(kind, name).await {
                 Ok(object) if object.spec == spec && object.version > expected => {
                     Ok(object.version)
@@ -264,7 +264,7 @@
                 item.kind == ObjectKind::Target && item.spec["service"] == name.as_str()
             };
             if list.items.iter().any(is_target_of_service) {
-                let reason = "has targets still: drain and delete them first";
+                let reason = "still has targets: drain and delete them first";
                 return Err(FieldError::new("name", reason).into());
             }
         }
@@ -274,7 +274,7 @@
     async fn watch(&self, request: &Request) -> Result<Response<BoxBody>, ApiError> {
         let query = request.uri().query().unwrap_or_default();
         let from = query_number(query, "from")
-            .ok_or_else(|| FieldError::new("from", "must be a revision"))?;
+            .ok_or_else(|| FieldError::new("from", "is required and must be a revision"))?;
         let timeout = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(10_000));
         let page = self.client.watch(Version(from), timeout.min(MAX_WATCH_TIMEOUT)).await?;
         Ok(reply(StatusCode::OK, &page))
@@ -292,7 +292,7 @@
         let mut body = String::new();
         match encode(&mut body, &self.context.registry) {
             Ok(()) => text(StatusCode::OK, &body),
-            Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "metrics can't be written\n"),
+            Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "failed to encode metrics\n"),
         }
     }
 
