--- a/crates/nickellead_run/src/orders.rs
+++ b/crates/nickellead_run/src/orders.rs
@@ -1,4 +1,4 @@
-//! The orders thread: carries orders to targets and their answers back.
+//! Orders thread: sends orders to targets and returns their replies to the coordination.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
 
-/// Path of orders at a target.
+/// Path at which targets accept orders.
 const ORDER_PATH: &str = "/nickellead/order";
-/// Largest answer of a target to an order, in bytes.
+/// Maximum size of a target's reply to an order.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What reaches the orders thread.
+/// Message to the orders thread.
 #[derive(Debug)]
 pub(crate) enum OrderMessage {
-    /// Where targets listen.
+    /// Declarations, which hold the addresses of targets.
     Config(Arc<DeclaredConfig>),
-    /// Send an order.
+    /// Order to send to its target.
     Send(Box<TargetOrder>),
 }
 
-/// Starts the thread.
+/// Starts the orders thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     receiver: ChannelReceiver<OrderMessage>,
     coordination: ChannelSender<CoordinationMessage>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Sends an order; `None` when no readable answer of the meant target came.
+/// Sends an order; `None` without a readable reply of the target that the order names.
 async fn send(
     client: &awc::Client,
     address: SocketAddr,
