--- a/crates/nickellead_run/src/platform.rs
+++ b/crates/nickellead_run/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform thread: calls for the coordination, declarations and the list of VMs.
+//! Platform thread: calls for the coordination, declarations and the list of VMs.
 //!
-//! Only a VM that coordinates, or that hears no coordinator, follows the
-//! platform; the others get everything from their coordinator.
+//! Only a VM that coordinates, or that has lost its coordinator, watches the
+//! platform; the others get declarations from their coordinator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,47 +20,47 @@
 use crate::coordination::CoordinationMessage;
 use crate::peers::PeerMessage;
 
-/// How long one watch waits for changes.
+/// Time that one watch request waits for changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two reads of the list of VMs.
+/// Interval between two reads of the list of VMs.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// The same while keys wait for a VM to be off the list.
+/// Interval between two reads while keys wait for a VM to leave the list.
 const URGENT_VM_LIST_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
 
-/// What reaches the platform thread.
+/// Message to the platform thread.
 #[derive(Debug)]
 pub(crate) enum PlatformMessage {
-    /// A call of the coordination.
+    /// Read or write requested by the coordination.
     Call(Box<ZoneAction>),
-    /// Whether this VM is to follow the platform itself.
+    /// Sets how this VM watches the platform.
     SetWatchMode(WatchMode),
 }
 
-/// How closely a VM follows the platform.
+/// How a VM watches the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum WatchMode {
-    /// Its coordinator tells it everything.
+    /// The VM does not watch the platform; its coordinator sends declarations.
     #[default]
     Off,
-    /// It watches declarations and reads the list of VMs.
+    /// The VM watches declarations and polls the list of VMs.
     Normal,
-    /// The same, and keys wait for a VM to be off the list.
+    /// As `Normal`, with a shorter poll interval: keys wait for a VM to leave the list.
     Urgent,
 }
 
-/// Who is told what the platform says.
+/// Channels to the threads that receive state of the platform.
 #[derive(Clone)]
 pub(crate) struct PlatformChannels {
     pub(crate) coordination: ChannelSender<CoordinationMessage>,
     pub(crate) peers: ChannelSender<PeerMessage>,
 }
 
-/// Starts the thread.
+/// Starts the platform thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     address: SocketAddr,
     zone: Name,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Name of the placement of a service in a zone.
+/// Name of the placement object of a service in a zone; `None` if that is not a valid name.
 fn placement_name(service: &Name, zone: &Name) -> Option<Name> {
     Name::new(&format!("{service}.{zone}")).ok()
 }
@@ -163,7 +163,7 @@
     try_send(&channels.peers, PeerMessage::Config(config));
 }
 
-/// The declared objects, kept up to date by list and watch.
+/// Declared objects, kept up to date by list and watch.
 #[derive(Default)]
 struct ConfigObjects {
     revision: Option<Version>,
@@ -171,14 +171,14 @@
 }
 
 impl ConfigObjects {
-    /// Lists once, then waits for changes; tells whether anything changed.
+    /// Lists on the first call, then waits for changes; returns whether anything changed.
     async fn refresh(&mut self, client: &PlatformClient) -> Result<bool, PlatformError> {
         let Some(revision) = self.revision else {
             return self.list(client).await;
         };
         match client.watch(revision, WATCH_TIMEOUT).await {
             Ok(page) if page.revision < revision => {
-                // The platform went back: a stale replica. What is known stays in force.
+                // A stale replica responded: keep the known objects.
                 Ok(false)
             }
             Ok(page) => {
@@ -209,7 +209,7 @@
         Ok(true)
     }
 
-    /// The declarations that can be read; one that can't is left out.
+    /// Converts the objects to declarations and skips unreadable ones.
     fn to_config(&self) -> DeclaredConfig {
         let revision = self.revision.unwrap_or_default();
         let mut config = DeclaredConfig { revision, ..DeclaredConfig::default() };
@@ -254,7 +254,7 @@
             WatchMode::Urgent => URGENT_VM_LIST_INTERVAL,
             WatchMode::Off | WatchMode::Normal => VM_LIST_INTERVAL,
         };
-        // A change of the mode cuts the pause short.
+        // A change of the mode ends the delay early.
         let _ = tokio::time::timeout(interval, watch_mode.changed()).await;
     }
 }
