--- a/crates/nickellead_run/src/requests.rs
+++ b/crates/nickellead_run/src/requests.rs
@@ -1,4 +1,4 @@
-//! The request workers: one thread each, with its own listener and table.
+//! Request workers: one thread each, with its own listener and routing table.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -12,18 +12,18 @@
 use crate::channel::ChannelReceiver;
 use crate::readiness::Readiness;
 
-/// What reaches a worker over its ring.
+/// Message to a request worker.
 pub(crate) enum WorkerMessage {
-    /// Something to take over.
+    /// Change of declarations or routes.
     Update(WorkerUpdate),
-    /// All that it needs to serve went before this.
+    /// All state that the worker needs to serve requests was sent before this message.
     Initialized,
 }
 
-/// Starts one worker's thread.
+/// Starts the thread of one worker.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     updates: WorkerUpdates,
     listener: TcpListener,
@@ -41,7 +41,7 @@
     })
 }
 
-/// What a worker is told, and where it notes what it has taken over.
+/// Updates to a worker, and where it records those that it has applied.
 pub(crate) struct WorkerUpdates {
     pub(crate) receiver: ChannelReceiver<WorkerMessage>,
     pub(crate) readiness: Arc<Readiness>,
@@ -50,7 +50,7 @@
 }
 
 impl WorkerUpdates {
-    /// Takes over all that comes.
+    /// Applies updates until the channel is closed.
     async fn apply_all(mut self, worker: Rc<ProxyWorker>) {
         let progress = self.readiness.worker(self.index);
         while let Some(message) = self.receiver.recv().await {
@@ -83,6 +83,6 @@
     while state.running() > 0 {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
-    // The last answers' bytes leave before the runtime ends.
+    // Lets the last responses leave the socket before the runtime ends.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
 }
