--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one VM: a JSON file, checked whole before anything starts.
+//! Settings of one VM: a JSON file that is validated before any thread starts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use nickellead_proxy::ProxyLimits;
 use serde::{Deserialize, Serialize};
 
-/// Most request workers of one VM.
+/// Maximum number of request workers of one VM.
 const MAX_WORKERS: u16 = 64;
 
 /// Settings of one entry VM.
@@ -20,30 +20,30 @@
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators_address: SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub peers_address: SocketAddr,
-    /// Where the platform listens.
+    /// Address of the platform's object API.
     pub platform_address: SocketAddr,
-    /// VMs known from the start, beside those of the platform's list.
+    /// VMs known at start, in addition to the platform's list.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// Threads that answer callers.
+    /// Number of threads that serve callers.
     #[serde(default = "default_workers")]
     pub workers: u16,
-    /// Times of leases.
+    /// Timings of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// Bounds of the request path.
+    /// Limits of the request path.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Longest time a planned stop may take, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     #[serde(default = "default_stop")]
     pub stop_limit_ms: u32,
-    /// How long the VM serves on after its readiness went off, in milliseconds.
+    /// How long a stopping VM continues to serve after it turned readiness off, in milliseconds.
     #[serde(default = "default_linger")]
     pub stop_linger_ms: u32,
 }
@@ -60,7 +60,7 @@
     500
 }
 
-/// Another VM.
+/// Another VM that is known at start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
@@ -68,29 +68,29 @@
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for other VMs.
+    /// Its address for other VMs.
     pub address: SocketAddr,
 }
 
-/// Times of leases, in milliseconds; see [`LeaseTimings`].
+/// Timings of leases, in milliseconds; see [`LeaseTimings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// Between two heartbeats to a target.
+    /// Interval between two heartbeats to a target.
     pub heartbeat_ms: u32,
     /// How long a target may serve without a heartbeat.
     pub lease_ms: u32,
-    /// Added to every bound on a lease.
+    /// Safety margin added to every bound on a lease.
     pub margin_ms: u32,
-    /// How long a target's answer is waited for.
+    /// Timeout of an order to a target.
     pub order_timeout_ms: u32,
-    /// Between two renewals of the mandate.
+    /// Interval between two renewals of the mandate (leader lease).
     pub renewal_ms: u32,
-    /// How long the mandate must stand still before a standby takes it.
+    /// How long the mandate must remain unrenewed before a standby acquires it.
     pub standstill_ms: u32,
-    /// How long the platform must be silent before a coordinator is detached.
+    /// How long the platform must not respond before a coordinator becomes detached.
     pub detach_after_ms: u32,
-    /// Bound on the difference of clock rates, in parts per million.
+    /// Maximum difference of clock rates, in parts per million.
     pub drift_ppm: u32,
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl LeaseSettings {
-    /// The times as the state machines take them.
+    /// Converts the settings to the timings of the state machines.
     #[must_use]
     pub fn to_timings(self) -> LeaseTimings {
         let duration = |millis: u32| Duration::from_millis(u64::from(millis));
@@ -129,19 +129,19 @@
     }
 }
 
-/// Bounds of the request path; see [`ProxyLimits`].
+/// Limits of the request path; see [`ProxyLimits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// VMs that share the targets' connections.
+    /// Number of VMs among which the capacity of each target is divided.
     pub vms: u32,
-    /// Requests that may wait for a turn at one target, per worker.
+    /// Maximum number of requests queued for one target, per worker.
     pub queue: u32,
-    /// Requests that may wait for moves, per worker.
+    /// Maximum number of requests that wait for shard moves, per worker.
     pub movers: u32,
-    /// Longest wait for a move, in milliseconds.
+    /// Maximum wait for a shard move, in milliseconds.
     pub move_wait_ms: u32,
-    /// Connections from callers, per worker.
+    /// Maximum number of connections from callers, per worker.
     pub connections: u32,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl LimitSettings {
-    /// The bounds as a worker takes them.
+    /// Converts the settings to the limits of one of `workers` workers.
     #[must_use]
     pub fn to_limits(self, workers: u16) -> ProxyLimits {
         ProxyLimits {
@@ -173,20 +173,20 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Returns the first field that is wrong, and why.
+    /// Returns the first invalid field and the reason.
     pub fn read(text: &[u8]) -> Result<Self, FieldError> {
         let settings: Self = read_json(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks what the types can't say.
+    /// Validates constraints that the types do not express.
     ///
     /// # Errors
-    /// Returns the first field that is wrong, and why.
+    /// Returns the first invalid field and the reason.
     pub fn check(&self) -> Result<(), FieldError> {
         if self.workers == 0 || self.workers > MAX_WORKERS {
             let reason = format!("must be from 1 to {MAX_WORKERS}");
@@ -214,7 +214,7 @@
                 return Err(FieldError::new(*field, "must have a port"));
             }
             if own[..index].iter().any(|(_, other)| other == address) {
-                return Err(FieldError::new(*field, "is used for something else already"));
+                return Err(FieldError::new(*field, "is already used by another setting"));
             }
         }
         for (index, peer) in self.peers.iter().enumerate() {
