--- a/crates/nickellead_run/src/peers/mod.rs
+++ b/crates/nickellead_run/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The peers thread: follows coordinators, answers followers, feeds the workers.
+//! Peers thread: follows coordinators, serves followers and updates the workers.
 
 mod follow;
 mod server;
@@ -26,13 +26,13 @@
 use crate::requests::WorkerMessage;
 use state::PeerState;
 
-/// How long an answer to an ask is waited for.
+/// Timeout of a single request to another VM.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What reaches the peers thread.
+/// Message to the peers thread.
 #[derive(Debug)]
 pub(crate) enum PeerMessage {
-    /// This VM's zone has new owners.
+    /// New owners in this VM's zone.
     Publish(Box<ZoneDelta>),
     /// Whether this VM coordinates its zone, and in which term.
     Leading(Term, bool),
@@ -42,15 +42,15 @@
     Config(Arc<DeclaredConfig>),
     /// The platform's list of VMs.
     VmList(Vec<ListedVm>),
-    /// An operator asks for the owners in every zone.
+    /// Request of an operator for the owners in every zone.
     Summarize(oneshot::Sender<BTreeMap<ZoneKey, ZoneSummary>>),
-    /// Ask a standby to keep new owners.
+    /// Owner records for a standby to store.
     SendRecordBatch(VmIncarnation, RecordBatch),
-    /// Ask the former coordinator to step down.
+    /// Request to the previous coordinator to step down.
     RequestStepDown(VmIncarnation, Term),
 }
 
-/// Rings from peers to the other duties.
+/// Channels from the peers thread to the other threads.
 pub(crate) struct PeerChannels {
     pub(crate) coordination: ChannelSender<CoordinationMessage>,
     pub(crate) orders: ChannelSender<OrderMessage>,
@@ -58,10 +58,10 @@
     pub(crate) readiness: Arc<Readiness>,
 }
 
-/// Starts the thread.
+/// Starts the peers thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     own: PeerVm,
     listener: TcpListener,
@@ -105,7 +105,7 @@
         PeerMessage::Config(config) => state.apply_config(config),
         PeerMessage::VmList(vms) => state.apply_vm_list(vms),
         PeerMessage::Summarize(responder) => {
-            // The operator may have gone.
+            // The operators' thread may have stopped waiting.
             let _ = responder.send(state.summaries());
         }
         PeerMessage::SendRecordBatch(vm, batch) => send(state, &vm, PeerRequest::Record(batch)),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Asks one VM something and hands the answer to the coordination.
+/// Sends a request to one VM and forwards the response to the coordination.
 fn send(state: &Rc<PeerState>, vm: &VmIncarnation, request: PeerRequest) {
     let Some(address) = state.address_of(&vm.vm) else {
         return;
@@ -124,7 +124,7 @@
         let event = match client.call(&request, REQUEST_TIMEOUT).await {
             Ok(PeerReply::Record(response)) => ZoneEvent::RecordResponseReceived(response),
             Ok(PeerReply::SteppedDown(term)) => ZoneEvent::StepDownConfirmed(term),
-            // Asked again by a later tick.
+            // A later tick sends the request again.
             _ => return,
         };
         try_send(&coordination, CoordinationMessage::Event(event));
