--- a/crates/nickellead_run/src/peers/server.rs
+++ b/crates/nickellead_run/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answering other VMs.
+//! Request handlers for other VMs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
 
-/// Longest time an answer is held back while there is nothing to tell.
+/// Maximum time that a follow request is held open without a change.
 const MAX_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) fn handler(state: Rc<PeerState>) -> PeerHandler {
@@ -47,7 +47,7 @@
     let mut changes = state.subscribe();
     let wait_limit = Duration::from_millis(u64::from(request.wait_ms)).min(MAX_LONG_POLL_TIMEOUT);
     let wait_for_changes = async {
-        // Only a coordinator holds an answer back: another VM has nothing more to say.
+        // Only a coordinator delays the response until a change: other VMs have none to send.
         while state.is_leading() {
             changes.mark_unchanged();
             let reply = state.follow_reply(request);
@@ -57,7 +57,7 @@
             }
         }
     };
-    // Running out of time means there was nothing to tell.
+    // On a timeout the response contains no changes.
     let _ = timeout(wait_limit, wait_for_changes).await;
     PeerReply::Follow(Box::new(state.follow_reply(request)))
 }
