--- a/crates/nickellead_run/src/peers/follow.rs
+++ b/crates/nickellead_run/src/peers/follow.rs
@@ -1,4 +1,4 @@
-//! Following coordinators: this zone's by every VM, the others' by the coordinator.
+//! Follow loops: every VM follows the coordinator of its zone, and a coordinator those of the other zones.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use crate::channel::try_send;
 use crate::coordination::CoordinationMessage;
 
-/// How long a coordinator may hold an answer to a standby back.
+/// How long a coordinator may delay its response to a standby.
 const STANDBY_LONG_POLL_MS: u32 = 250;
-/// How long a coordinator may hold an answer to another VM back.
+/// How long a coordinator may delay its response to a VM that is not a standby.
 const FOLLOWER_LONG_POLL_MS: u32 = 1_000;
-/// How long an answer is waited for beyond that.
+/// Added to the long-poll time for the timeout of a follow request.
 const LONG_POLL_GRACE: Duration = Duration::from_millis(350);
-/// Pause after an answer of a VM that does not coordinate, or after none.
+/// Delay after a failed request or a response of a VM that does not coordinate.
 const SEARCH_BACKOFF: Duration = Duration::from_millis(50);
-/// Between two looks for zones that are not followed yet.
+/// Interval between two checks for zones that are not followed yet.
 const ZONES_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows the coordinator of this VM's zone for as long as the thread runs.
+/// Follows the coordinator of this VM's zone; idle while this VM coordinates.
 pub(super) async fn follow_own_zone(state: Rc<PeerState>) {
     let mut search = CoordinatorSearch::new(state.own.zone.clone());
     let mut has_coordinator = false;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes over an answer; the event to tell when it came from the coordinator.
+/// Applies a response; returns the event for the coordination if the coordinator sent it.
 fn apply_response(
     state: &PeerState,
     search: &mut CoordinatorSearch,
@@ -62,7 +62,7 @@
     state.apply_reply(reply).then_some(ZoneEvent::CoordinatorAnnounced(term, standby))
 }
 
-/// While this VM coordinates, follows the coordinators of the other zones.
+/// Starts a follow loop for each other zone; these only run while this VM coordinates.
 pub(super) async fn follow_other_zones(state: Rc<PeerState>) {
     let mut followed_zones = BTreeSet::new();
     loop {
@@ -93,11 +93,11 @@
     }
 }
 
-/// Looks for a zone's coordinator: the known one first, then any VM of the zone.
+/// Requests to a zone's coordinator, or round robin to its VMs while none is known.
 struct CoordinatorSearch {
     zone: Name,
     next_index: usize,
-    /// How long the next answer may be held back.
+    /// How long the next response may be delayed, in milliseconds.
     long_poll_ms: u32,
     client: Option<PeerClient>,
 }
