--- a/crates/nickellead_run/src/peers/state.rs
+++ b/crates/nickellead_run/src/peers/state.rs
@@ -1,4 +1,4 @@
-//! What this VM knows of the others, and who is notified when it changes.
+//! This VM's state of the other VMs and zones; notifies followers and workers of changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,10 +24,10 @@
 use crate::requests::WorkerMessage;
 use nickellead_event::{EventName, log_event};
 
-/// How long after its start a VM waits for the owners in other zones.
+/// How long after its start a VM waits for the owners in other zones before it becomes ready.
 const OTHER_ZONES_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Another VM's location.
+/// Zone and peer address of another VM.
 #[derive(Clone, Debug)]
 struct KnownVm {
     zone: Name,
@@ -46,7 +46,7 @@
     standbys: RefCell<Vec<VmIncarnation>>,
     change_counter: watch::Sender<u64>,
     started: Instant,
-    /// Workers whose ring was full: they get everything anew.
+    /// Per worker, whether its channel was full: the next update sends it the full state.
     lagging: RefCell<Vec<bool>>,
 }
 
@@ -107,7 +107,7 @@
         self.vms.borrow().get(vm).map(|known| known.address)
     }
 
-    /// The other VMs of a zone.
+    /// Addresses of the other VMs of a zone.
     pub(super) fn vms_of(&self, zone: &Name) -> Vec<SocketAddr> {
         let vms = self.vms.borrow();
         let others = vms.iter().filter(|(vm, known)| **vm != self.own.vm && known.zone == *zone);
@@ -128,7 +128,7 @@
         self.coordinators.borrow().get(zone).map(|(_, vm)| vm.clone())
     }
 
-    /// Forgets a coordinator that did not answer.
+    /// Removes the coordinator of a zone, for instance when it does not respond.
     pub(super) fn remove_coordinator(&self, zone: &Name) {
         self.coordinators.borrow_mut().remove(zone);
     }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Takes over declarations that the platform told, unless they are older than those known.
+    /// Applies declarations from the platform if they are newer than the known ones.
     pub(super) fn apply_config(&self, config: Arc<DeclaredConfig>) {
         let is_newer = self.config.borrow_mut().take_whole(Arc::clone(&config));
         if is_newer {
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Takes over declarations that another VM told; what does not fit is asked for whole.
+    /// Applies an update of declarations from another VM. If it does not apply, the next request asks
+    /// for a full copy.
     fn apply_config_update(&self, news: ConfigNews) {
         let applied = self.config.borrow_mut().take_news(news);
         match applied {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Tells the newest declarations to all parts of this VM.
+    /// Sends the newest declarations to all threads of this VM.
     fn publish_config(&self) {
         let newest = self.config.borrow().newest().cloned();
         let Some(config) = newest else { return };
@@ -175,7 +176,7 @@
         self.distribute_config(config);
     }
 
-    /// Tells declarations to all parts of this VM but the coordination.
+    /// Sends declarations to all threads of this VM except the coordination.
     fn distribute_config(&self, config: Arc<DeclaredConfig>) {
         log_event(EventName::ConfigInForce, &[("revision", &config.revision)]);
         try_send(&self.channels.orders, OrderMessage::Config(Arc::clone(&config)));
@@ -183,7 +184,7 @@
         self.notify();
     }
 
-    /// Takes over owners; tells what became of them.
+    /// Applies a delta of owners to the table of its zone and sends it to the workers.
     pub(super) fn apply_delta(&self, delta: &ZoneDelta) -> DeltaOutcome {
         let outcome = {
             let mut zones = self.zones.borrow_mut();
@@ -198,13 +199,13 @@
         outcome
     }
 
-    /// The owners in every zone, as this VM knows them.
+    /// Shard counts of services and targets in every known zone.
     pub(super) fn summaries(&self) -> BTreeMap<ZoneKey, ZoneSummary> {
         let zones = self.zones.borrow();
         zones.iter().map(|(zone, table)| (*zone, table.summary())).collect()
     }
 
-    /// What this VM asks a coordinator.
+    /// Builds a follow request with the versions that this VM knows.
     pub(super) fn follow_request(&self, wait_ms: u32) -> FollowRequest {
         let zones = self.zones.borrow();
         let known = zones.iter().filter_map(|(zone, table)| {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// What this VM answers a follower.
+    /// Builds a response with all state newer than the follower's.
     pub(super) fn follow_reply(&self, request: &FollowRequest) -> FollowReply {
         let zones = self.zones.borrow();
         let known = |zone: ZoneKey| {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Takes over an answer; tells whether it came from its zone's coordinator.
+    /// Applies a response; returns whether the coordinator of the sender's zone sent it.
     pub(super) fn apply_reply(&self, reply: FollowReply) -> bool {
         let from_coordinator = reply.coordinator.as_ref() == Some(&reply.from);
         if let Some(coordinator) = reply.coordinator {
@@ -253,8 +254,8 @@
         from_coordinator
     }
 
-    /// Lets the workers call themselves initialized once the owners in this zone are known, and those in the
-    /// others too or a while has passed: a zone that is cut off serves what it can.
+    /// Marks the workers initialized once the owners in this zone and in all other zones are known. After
+    /// [`OTHER_ZONES_TIMEOUT`] this zone is enough, so that an isolated zone becomes ready.
     pub(super) fn check_readiness(&self) {
         let config = self.config.borrow();
         let Some(config) = config.newest() else { return };
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Tells workers that they have been told enough to serve; one whose ring was full is told later.
+    /// Sends `Initialized` to all workers except those that lag; they get it after the full state.
     fn mark_workers_initialized(&self) {
         let lagging = self.lagging.borrow();
         for (index, worker) in self.channels.workers.iter().enumerate() {
@@ -294,7 +295,7 @@
         }
     }
 
-    /// Tells a worker everything; tells whether it all went in.
+    /// Sends the full state to a worker; returns whether its channel accepted all of it.
     fn send_full_state(&self, worker: &ChannelSender<WorkerMessage>) -> bool {
         let try_send = |update| try_send(worker, WorkerMessage::Update(update));
         let config = self.config.borrow().newest().cloned();
