--- a/crates/nickellead_run/tests/settings.rs
+++ b/crates/nickellead_run/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole, and every error names its field.
+//! Guards against invalid settings that are accepted, and against errors that name another field.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_run::NodeSettings;
@@ -50,12 +50,12 @@
     ];
     for (path, value, field) in cases {
         let mut wrong = settings();
-        let shown = format!("{path} = {value}");
+        let case = format!("{path} = {value}");
         match wrong.pointer_mut(path) {
-            Some(place) => *place = value,
+            Some(old) => *old = value,
             None => drop(wrong.as_object_mut().unwrap().insert(path[1..].to_owned(), value)),
         }
-        assert_eq!(field_of(&wrong), field, "{shown}");
+        assert_eq!(field_of(&wrong), field, "{case}");
     }
 }
 
