--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `nickellead` program: a thin front that joins the crates.
+//! The `nickellead` command-line program.
 
 mod command;
 mod logging;
