--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs: one line of key=value pairs an event, never waited for.
+//! Logging: one line of key=value pairs per event, written without blocking the caller.
 //!
-//! Lines go over a bounded ring to a thread of their own. When nobody reads
-//! them and the ring is full, lines are dropped and counted; the count is
-//! written once there is room again. So no request ever waits for a reader of logs.
+//! A bounded queue passes the lines to a writer thread. While the output blocks
+//! and the queue is full, lines are dropped and counted; the writer logs the
+//! count after the next line that it writes.
 
 use std::io::{Stderr, Stdout, Write};
 use std::sync::Arc;
@@ -14,30 +14,30 @@
 use nickellead_run::{EventName, event_line};
 use simplelog::{Config, ConfigBuilder, WriteLogger};
 
-/// Lines that may wait to be written: at 200 bytes a line less than a megabyte.
-const RING_LINES: usize = 4_096;
+/// Maximum number of lines in the queue; less than 1 MB at 200 bytes a line.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Longest wait for the last lines at the end of the process.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
-/// Between two looks whether they are written.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+/// Maximum time that a flush waits for queued lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval between two checks of a flush.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Where a command writes its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogOutput {
-    /// Standard output, for programs that print nothing else.
+    /// Standard output, for commands that print nothing else.
     Stdout,
-    /// Standard error, for programs whose standard output is their result.
+    /// Standard error, for commands that print their result to standard output.
     Stderr,
 }
 
-/// Starts logging for the whole process.
+/// Installs the logger of the process.
 pub fn start_logging(level: LevelFilter, output: LogOutput) {
     let config = config();
-    // A logger that was started before stays in place.
+    // Keeps a logger that is already installed.
     let _ = match output {
-        LogOutput::Stdout => WriteLogger::init(level, config, LineRing::start(std::io::stdout())),
-        LogOutput::Stderr => WriteLogger::init(level, config, LineRing::start(std::io::stderr())),
+        LogOutput::Stdout => WriteLogger::init(level, config, LineQueue::start(std::io::stdout())),
+        LogOutput::Stderr => WriteLogger::init(level, config, LineQueue::start(std::io::stderr())),
     };
 }
 
@@ -50,50 +50,50 @@
         .build()
 }
 
-/// The sending end of the ring of lines.
-struct LineRing {
+/// Sender of the line queue; collects bytes up to the end of a line.
+struct LineQueue {
     line: Vec<u8>,
     sender: SyncSender<Vec<u8>>,
     counts: Arc<LineCounts>,
 }
 
-/// Lines between the two ends of the ring.
+/// Number of queued lines and of dropped lines not yet logged.
 #[derive(Default)]
 struct LineCounts {
     dropped: AtomicU64,
-    waiting: AtomicU64,
+    queued: AtomicU64,
 }
 
-/// What lines are written to.
+/// Output that log lines can be written to.
 trait LineOutput: Write + Send + 'static {}
 
 impl LineOutput for Stdout {}
 impl LineOutput for Stderr {}
 
-impl LineRing {
-    /// Starts the writing thread; without one, lines are dropped.
+impl LineQueue {
+    /// Starts the writer thread; if that fails, all lines are dropped.
     fn start(output: impl LineOutput) -> Self {
-        let (sender, receiver) = sync_channel(RING_LINES);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::new(LineCounts::default());
-        let counted = Arc::clone(&counts);
-        // A system that refuses the thread leaves the receiver dropped: every send then fails.
+        let writer_counts = Arc::clone(&counts);
+        // If the thread can't be started, the receiver is dropped and every send fails.
         let _ = std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(&receiver, output, &counted));
+            .spawn(move || write_lines(&receiver, output, &writer_counts));
         Self { line: Vec::new(), sender, counts }
     }
 
     fn send(&mut self) {
         let line = std::mem::take(&mut self.line);
-        self.counts.waiting.fetch_add(1, Ordering::Relaxed);
+        self.counts.queued.fetch_add(1, Ordering::Relaxed);
         if self.sender.try_send(line).is_err() {
-            self.counts.waiting.fetch_sub(1, Ordering::Relaxed);
+            self.counts.queued.fetch_sub(1, Ordering::Relaxed);
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Write for LineRing {
+impl Write for LineQueue {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
@@ -102,11 +102,11 @@
         Ok(bytes.len())
     }
 
-    /// Waits a bounded time for the lines on their way; only the end of the process does so.
+    /// Waits up to [`FLUSH_TIMEOUT`] until the queue is empty; called at the end of the process only.
     fn flush(&mut self) -> std::io::Result<()> {
-        let end = Instant::now() + FLUSH_TIME;
-        while self.counts.waiting.load(Ordering::Relaxed) > 0 && Instant::now() < end {
-            std::thread::sleep(FLUSH_LOOK);
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.counts.queued.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+            std::thread::sleep(FLUSH_POLL_INTERVAL);
         }
         Ok(())
     }
@@ -114,20 +114,20 @@
 
 fn write_lines(receiver: &Receiver<Vec<u8>>, mut output: impl LineOutput, counts: &LineCounts) {
     while let Ok(line) = receiver.recv() {
-        // A closed pipe takes no more lines, and there is nobody left to tell.
+        // The output is closed: no line can be written any more.
         if output.write_all(&line).is_err() {
             return;
         }
-        counts.waiting.fetch_sub(1, Ordering::Relaxed);
-        let lost = counts.dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 && writeln!(output, "{}", lost_line(lost)).is_err() {
+        counts.queued.fetch_sub(1, Ordering::Relaxed);
+        let dropped = counts.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 && writeln!(output, "{}", dropped_lines_event(dropped)).is_err() {
             return;
         }
         let _ = output.flush();
     }
 }
 
-/// The line that tells how many lines were dropped.
-fn lost_line(count: u64) -> String {
+/// Log line with the number of dropped lines.
+fn dropped_lines_event(count: u64) -> String {
     event_line(EventName::LinesDropped, &[("count", &count)])
 }
