--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module for each family of subcommands.
+//! Command line: one module for each family of subcommands.
 
 mod gateway;
 mod report;
@@ -11,7 +11,7 @@
 
 use argh::FromArgs;
 
-/// Exit code when settings or arguments are wrong.
+/// Exit code for invalid settings or arguments.
 const EXIT_USAGE: u8 = 2;
 
 /// nickellead: a router for servers that own keys exclusively.
@@ -37,7 +37,7 @@
     Report(report::ReportCommand),
 }
 
-/// Runs what the command line asks for.
+/// Runs the selected subcommand and returns its exit code.
 pub fn run(command: TopCommand) -> ExitCode {
     match command.command {
         SubCommand::Run(command) => command.run(),
@@ -54,13 +54,13 @@
     }
 }
 
-/// Reports a fault on standard error and gives the exit code for it.
+/// Prints an error to standard error and returns `code` as the exit code.
 fn fail(code: u8, message: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("nickellead: {message}");
     ExitCode::from(code)
 }
 
-/// Prints one line of a command's result; a closed pipe ends the output quietly.
+/// Prints one line of a command's result; ignores write errors, such as a closed pipe.
 fn print_line(line: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{line}");
