--- a/src/command/gateway.rs
+++ b/src/command/gateway.rs
@@ -1,4 +1,4 @@
-//! `gateway`: one VM on the users' platform.
+//! `gateway`: one VM on the platform's store.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,36 +15,36 @@
 use super::{EXIT_USAGE, fail};
 use crate::logging::{LogOutput, start_logging};
 
-/// Between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+/// Interval between two checks whether the settings file changed.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// run one gateway VM against the platform's store until SIGTERM or SIGINT
 #[derive(FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub(super) struct GatewayCommand {
-    /// settings, a JSON file; without it the platform's environment variable names the file
+    /// settings file in JSON; defaults to the file named by the platform's environment variable
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// loudness of the log: error, warn, info or debug
+    /// log level: error, warn, info or debug
     #[argh(option, default = "LevelFilter::Info")]
     log: LevelFilter,
 }
 
-/// The path of the settings: as given, or as the platform says.
+/// Path of the settings file: the given one, or else the value of [`SETTINGS_VARIABLE`].
 fn settings_path(given: Option<PathBuf>) -> Result<PathBuf, String> {
-    let named = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-    given.or_else(named).ok_or_else(|| {
+    let from_environment = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    given.or_else(from_environment).ok_or_else(|| {
         format!("no settings: give --settings FILE or set {SETTINGS_VARIABLE} to its path")
     })
 }
 
 fn read_settings(path: &Path) -> Result<GatewaySettings, String> {
-    let shown = path.display();
-    let text = std::fs::read(path).map_err(|error| format!("{shown} can't be read: {error}"))?;
-    GatewaySettings::read(&text).map_err(|error| format!("{shown}: {error}"))
+    let display = path.display();
+    let text = std::fs::read(path).map_err(|error| format!("failed to read {display}: {error}"))?;
+    GatewaySettings::read(&text).map_err(|error| format!("{display}: {error}"))
 }
 
-/// The signals that a VM heeds: once they are listened for, none of them ends the process by itself.
+/// Signal streams of the process; they replace the default action of each signal.
 struct ProcessSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -52,7 +52,7 @@
 }
 
 impl ProcessSignals {
-    /// Listens for them; to be called inside the runtime.
+    /// Registers the streams; requires a running runtime.
     fn listen() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -62,26 +62,26 @@
     }
 }
 
-/// Reads the settings again on SIGHUP or when the file changed, until SIGTERM or SIGINT.
+/// Reloads the settings on SIGHUP or when the file changes; returns on SIGTERM or SIGINT.
 async fn reload_until_stopped(
     mut signals: ProcessSignals,
     path: &Path,
     gateway: &mut GatewayHandle,
 ) {
-    let changed = |path: &Path| std::fs::metadata(path).and_then(|data| data.modified()).ok();
-    let mut known = changed(path);
+    let modified_at = |path: &Path| std::fs::metadata(path).and_then(|data| data.modified()).ok();
+    let mut last_modified = modified_at(path);
     loop {
         let signalled = tokio::select! {
             _ = signals.terminate.recv() => return,
             _ = signals.interrupt.recv() => return,
             _ = signals.hangup.recv() => true,
-            () = tokio::time::sleep(SETTINGS_LOOK) => false,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        let now = changed(path);
-        if !signalled && now == known {
+        let modified = modified_at(path);
+        if !signalled && modified == last_modified {
             continue;
         }
-        known = now;
+        last_modified = modified;
         match read_settings(path) {
             Ok(settings) => gateway.reload(settings),
             Err(reason) => log_event(EventName::SettingsRejected, &[("reason", &reason)]),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The runtime of the signals, and the signals.
+/// Creates a runtime and registers the signal streams on it.
 fn listen_for_signals() -> std::io::Result<(Runtime, ProcessSignals)> {
     let runtime = Runtime::new()?;
     let signals = runtime.block_on(async { ProcessSignals::listen() })?;
@@ -105,8 +105,8 @@
             Ok(read) => read,
             Err(message) => return fail(EXIT_USAGE, &message),
         };
-        // Before the VM can be reached: a signal that nobody listens for ends the process, and with it the
-        // requests that are under way.
+        // Registers signals before the VM accepts requests: the default action of a signal would end the
+        // process and its requests in flight.
         let (runtime, signals) = match listen_for_signals() {
             Ok(listening) => listening,
             Err(error) => return fail(1, &error),
