--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -15,27 +15,27 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub(super) struct RunCommand {
-    /// settings, a JSON file
+    /// settings file in JSON
     #[argh(option)]
     settings: PathBuf,
-    /// loudness of the log: error, warn, info or debug
+    /// log level: error, warn, info or debug
     #[argh(option, default = "LevelFilter::Info")]
     log: LevelFilter,
 }
 
-/// check settings and start nothing
+/// validate a settings file without starting a VM
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(super) struct CheckCommand {
-    /// settings, a JSON file
+    /// settings file in JSON
     #[argh(option)]
     settings: PathBuf,
 }
 
 fn read_settings(path: &PathBuf) -> Result<NodeSettings, String> {
-    let shown = path.display();
-    let text = std::fs::read(path).map_err(|error| format!("{shown} can't be read: {error}"))?;
-    NodeSettings::read(&text).map_err(|error| format!("{shown}: {error}"))
+    let display = path.display();
+    let text = std::fs::read(path).map_err(|error| format!("failed to read {display}: {error}"))?;
+    NodeSettings::read(&text).map_err(|error| format!("{display}: {error}"))
 }
 
 impl CheckCommand {
