--- a/src/command/report.rs
+++ b/src/command/report.rs
@@ -1,4 +1,4 @@
-//! `explain` and `report burn`: what logs tell afterwards.
+//! `explain` and `report burn`: reports from logs.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -9,19 +9,20 @@
 
 use super::{EXIT_USAGE, fail, print_line};
 
-/// Five minutes, an hour and six hours: what the usual pairs of burn alerts look at.
+/// Default windows: five minutes, one hour and six hours, as usual for multi-window burn-rate alerts.
 const WINDOWS_S: [f64; 3] = [300.0, 3_600.0, 21_600.0];
-/// Part of the requests that must be answered.
+/// Default fraction of requests that must succeed.
 const OBJECTIVE: f64 = 0.99;
 
-/// tell the story of one request, and why it ended as it did, from the logs of all VMs
+/// show the events of one request and the cause of its outcome, from the logs of all VMs
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(super) struct ExplainCommand {
-    /// the request's id
+    /// id of the request
     #[argh(positional)]
     id: String,
-    /// logs, each line preceded by its VM's name where several VMs wrote; without them standard input
+    /// log files, with the VM's name at the start of each line if several VMs wrote them; default is
+    /// standard input
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
@@ -32,13 +33,13 @@
             Ok(lines) => lines,
             Err(message) => return fail(EXIT_USAGE, &message),
         };
-        let story = explain_request(&self.id, &lines);
-        print_line(story.to_string().trim_end());
-        if story.cause.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+        let explanation = explain_request(&self.id, &lines);
+        print_line(explanation.to_string().trim_end());
+        if explanation.cause.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
     }
 }
 
-/// make a report from logs
+/// create a report from logs
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub(super) struct ReportCommand {
@@ -52,20 +53,20 @@
     Burn(BurnCommand),
 }
 
-/// tell for each route how fast it spends what its objective allows to fail
+/// show for each route how fast it consumes its error budget
 #[derive(FromArgs)]
 #[argh(subcommand, name = "burn")]
 struct BurnCommand {
-    /// part of the requests that must be answered (default 0.99)
+    /// fraction of requests that must succeed (default 0.99)
     #[argh(option, default = "OBJECTIVE")]
     objective: f64,
-    /// length of a window in seconds; may be given several times (default 300, 3600, 21600)
+    /// duration of a window in seconds; repeatable (default 300, 3600, 21600)
     #[argh(option, long = "window-s")]
     windows_s: Vec<f64>,
-    /// print JSON
+    /// print the report as JSON
     #[argh(switch)]
     json: bool,
-    /// logs; without them standard input
+    /// log files; default is standard input
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
@@ -107,18 +108,18 @@
     }
 }
 
-/// Reads the files, or standard input where none is named.
+/// Reads the files, or standard input if none is given.
 fn read_logs(paths: &[PathBuf]) -> Result<Vec<LogLine>, String> {
     let mut texts = Vec::new();
     for path in paths {
         let bytes = std::fs::read(path);
-        let bytes = bytes.map_err(|error| format!("{} can't be read: {error}", path.display()))?;
+        let bytes = bytes.map_err(|error| format!("failed to read {}: {error}", path.display()))?;
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
     if paths.is_empty() {
         let mut bytes = Vec::new();
         let read = std::io::stdin().read_to_end(&mut bytes);
-        read.map_err(|error| format!("standard input can't be read: {error}"))?;
+        read.map_err(|error| format!("failed to read standard input: {error}"))?;
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
     Ok(read_lines(texts.iter().map(String::as_str)))
