--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: platform, targets and callers as processes of their own.
+//! `standin`: stand-ins for platform, targets and callers as separate processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use super::run::wait_for_signal;
 use super::{EXIT_USAGE, fail};
 
-/// run a stand-in for platform, target or callers
+/// run a stand-in for the platform, a target or callers
 #[derive(FromArgs)]
 #[argh(subcommand, name = "standin")]
 pub(super) struct StandinCommand {
@@ -31,47 +31,47 @@
     Load(LoadCommand),
 }
 
-/// the platform's object API, in memory
+/// serve the platform's object API from memory
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformCommand {
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
-    /// its list of VMs, a JSON file
+    /// list of VMs, a JSON file
     #[argh(option)]
     vms: PathBuf,
 }
 
-/// one target that checks grants
+/// run one target that checks grants
 #[derive(FromArgs)]
 #[argh(subcommand, name = "target")]
 struct TargetCommand {
-    /// its name, as declared
+    /// name of the declared target
     #[argh(option)]
     name: String,
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
-    /// requests it runs side by side
+    /// number of requests to run concurrently
     #[argh(option, default = "4")]
     slots: u16,
-    /// requests that may wait for a slot
+    /// number of requests that may wait for a slot
     #[argh(option, default = "64")]
     queue: u16,
-    /// how long a request runs, in microseconds
+    /// service time of a request, in microseconds
     #[argh(option, default = "1000")]
     service_us: u64,
-    /// a file that every effect is appended to
+    /// file to append every effect to
     #[argh(option)]
     effects: Option<PathBuf>,
 }
 
-/// callers that send a bounded load and print what they recorded as JSON
+/// send a load for a limited time and print the results as JSON
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 struct LoadCommand {
-    /// callers' address of an entry VM; may be given several times
+    /// callers' address of an entry VM; repeatable
     #[argh(option)]
     entry: Vec<SocketAddr>,
     /// name of the service
@@ -83,19 +83,19 @@
     /// HTTP method
     #[argh(option, default = "String::from(\"GET\")")]
     method: String,
-    /// number the operations, so that repeats can be found
+    /// number the operations, so that repeated ones can be detected
     #[argh(switch)]
     once: bool,
-    /// callers side by side
+    /// number of concurrent callers
     #[argh(option, default = "8")]
     callers: u32,
-    /// keys that they name
+    /// number of keys
     #[argh(option, default = "1000")]
     keys: u32,
-    /// how long it lasts, in seconds; at most 600
+    /// duration in seconds; at most 600
     #[argh(option, default = "5")]
     seconds: u64,
-    /// pause between two requests of a caller, in milliseconds
+    /// think time of a caller between two requests, in milliseconds
     #[argh(option, default = "5")]
     pause_ms: u64,
 }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Says on standard error that a stand-in can be reached.
+/// Prints to standard error that a stand-in accepts connections.
 fn announce(address: SocketAddr) {
     eprintln!("event=standin-started address={address}");
 }
