--- a/src/command/trial.rs
+++ b/src/command/trial.rs
@@ -1,4 +1,4 @@
-//! `try`: both trades in one process, disturbed, judged and reported.
+//! `try`: a small deployment in one process, with faults, checked against the recorded effects.
 
 use std::process::ExitCode;
 
@@ -9,17 +9,17 @@
 use super::{EXIT_USAGE, fail, print_line};
 use crate::logging::{LogOutput, start_logging};
 
-/// run a small deployment of both trades on stand-ins and report what it showed
+/// run a small deployment with stand-ins in one process and report the results
 #[derive(FromArgs)]
 #[argh(subcommand, name = "try")]
 pub(super) struct TryCommand {
-    /// length of the load in seconds, from 3 to 600
+    /// duration of the load in seconds, from 3 to 600
     #[argh(option, default = "TrialSettings::default().seconds")]
     seconds: u64,
     /// print the report as JSON
     #[argh(switch)]
     json: bool,
-    /// loudness of the log: off, error, warn, info or debug
+    /// log level: off, error, warn, info or debug
     #[argh(option, default = "LevelFilter::Off")]
     log: LevelFilter,
 }
