--- a/src/command/resources.rs
+++ b/src/command/resources.rs
@@ -1,4 +1,4 @@
-//! `get`, `apply`, `delete` and `watch`: the resource API from the shell.
+//! `get`, `apply`, `delete` and `watch`: command-line client of the resource API.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,9 +12,9 @@
 
 use super::{EXIT_USAGE, fail, print_line};
 
-/// How long a call may take beyond what it asks for.
+/// Timeout of a call, in addition to the requested wait.
 const CALL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
-/// How long one watch call waits, in milliseconds.
+/// Time that one watch call waits for changes.
 const WATCH_WAIT_MS: u64 = 10_000;
 
 /// show objects, or the status of a VM
@@ -24,7 +24,7 @@
     /// operators' address of any VM
     #[argh(option)]
     vm: SocketAddr,
-    /// how to print: table, or json for whole objects
+    /// output format: table, or json for complete objects
     #[argh(option, short = 'o', default = "String::from(\"table\")")]
     output: String,
     /// kind: service, target, mandate, placement or status
@@ -35,17 +35,17 @@
     name: Option<String>,
 }
 
-/// write declarations; safe to repeat
+/// write declarations; idempotent
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub(super) struct ApplyCommand {
     /// operators' address of any VM
     #[argh(option)]
     vm: SocketAddr,
-    /// a JSON file or a folder of them; a file holds one object or a list
+    /// JSON file or folder of JSON files, each with one object or a list of objects
     #[argh(option, short = 'f')]
     file: PathBuf,
-    /// show what would change and change nothing
+    /// show the changes without writing them
     #[argh(switch)]
     dry_run: bool,
 }
@@ -65,24 +65,24 @@
     name: String,
 }
 
-/// print changes of declarations as they come
+/// print changes of declarations as they occur
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 pub(super) struct WatchCommand {
     /// operators' address of any VM
     #[argh(option)]
     vm: SocketAddr,
-    /// revision to resume from; the default is now
+    /// revision to resume from; default is the current one
     #[argh(option)]
     from: Option<u64>,
-    /// stop after this many waits of ten seconds; the default is never
+    /// number of ten-second waits before the command ends; default is no limit
     #[argh(option)]
     waits: Option<u64>,
 }
 
 impl GetCommand {
     pub(super) fn run(self) -> ExitCode {
-        finish(block_on(self.show()))
+        exit_code(block_on(self.show()))
     }
 
     async fn show(self) -> Result<(), String> {
@@ -116,7 +116,7 @@
 
 impl ApplyCommand {
     pub(super) fn run(self) -> ExitCode {
-        finish(block_on(self.apply()))
+        exit_code(block_on(self.apply()))
     }
 
     async fn apply(self) -> Result<(), String> {
@@ -124,8 +124,8 @@
         for path in declaration_files(&self.file)? {
             objects.extend(read_declarations(&path)?);
         }
-        // Services before the targets that refer to them.
-        objects.sort_by(|one, other| (one.kind, &one.name).cmp(&(other.kind, &other.name)));
+        // Writes services before the targets that refer to them.
+        objects.sort_by(|left, right| (left.kind, &left.name).cmp(&(right.kind, &right.name)));
         let api = ApiClient::new(self.vm);
         for object in objects {
             self.apply_one(&api, &object).await?;
@@ -136,9 +136,9 @@
     async fn apply_one(&self, api: &ApiClient, object: &ResourceObject) -> Result<(), String> {
         let label = format!("{}/{}", object.kind.as_str(), object.name);
         let old = api.get(object.kind, object.name.as_str()).await?;
-        let wanted = normal_spec(object)?;
+        let desired = normalized_spec(object)?;
         let version = match &old {
-            Some(old) if normal_spec(old)? == wanted => {
+            Some(old) if normalized_spec(old)? == desired => {
                 print_line(&format!("{label} unchanged"));
                 return Ok(());
             }
@@ -152,16 +152,16 @@
         }
         let path =
             format!("/v1/objects/{}/{}?version={version}", object.kind.as_str(), object.name);
-        let answer = api.call(Method::PUT, &path, Some(&wanted)).await;
-        let answer = answer.map_err(|error| format!("{label}: {error}"))?;
-        print_line(&format!("{label} {verb}, version {}", answer["version"]));
+        let response = api.call(Method::PUT, &path, Some(&desired)).await;
+        let response = response.map_err(|error| format!("{label}: {error}"))?;
+        print_line(&format!("{label} {verb}, version {}", response["version"]));
         Ok(())
     }
 }
 
 impl DeleteCommand {
     pub(super) fn run(self) -> ExitCode {
-        finish(block_on(async {
+        exit_code(block_on(async {
             let api = ApiClient::new(self.vm);
             let kind = parse_kind(&self.kind)?;
             let Some(object) = api.get(kind, &self.name).await? else {
@@ -179,7 +179,7 @@
 
 impl WatchCommand {
     pub(super) fn run(self) -> ExitCode {
-        finish(block_on(async {
+        exit_code(block_on(async {
             let api = ApiClient::new(self.vm);
             let mut from = match self.from {
                 Some(from) => from,
@@ -189,7 +189,7 @@
                 }
             };
             let mut waits = 0;
-            while self.waits.is_none_or(|most| waits < most) {
+            while self.waits.is_none_or(|limit| waits < limit) {
                 waits += 1;
                 let path = format!("/v1/watch?from={from}&wait_ms={WATCH_WAIT_MS}");
                 let page = api.call(Method::GET, &path, None).await?;
@@ -210,8 +210,8 @@
 
 impl ApiClient {
     fn new(vm: SocketAddr) -> Self {
-        let wait = std::time::Duration::from_millis(WATCH_WAIT_MS);
-        let http = awc::Client::builder().timeout(wait + CALL_TIMEOUT).finish();
+        let watch_wait = std::time::Duration::from_millis(WATCH_WAIT_MS);
+        let http = awc::Client::builder().timeout(watch_wait + CALL_TIMEOUT).finish();
         Self { http, vm }
     }
 
@@ -221,20 +221,20 @@
         path: &str,
         body: Option<&Value>,
     ) -> Result<Value, String> {
-        let (status, answer) = self.exchange(method, path, body).await?;
-        if status.is_success() { Ok(answer) } else { Err(explain(status, &answer)) }
+        let (status, body) = self.exchange(method, path, body).await?;
+        if status.is_success() { Ok(body) } else { Err(error_message(status, &body)) }
     }
 
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<Option<ResourceObject>, String> {
         let path = format!("/v1/objects/{}/{name}", kind.as_str());
-        let (status, answer) = self.exchange(Method::GET, &path, None).await?;
+        let (status, body) = self.exchange(Method::GET, &path, None).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
         if !status.is_success() {
-            return Err(explain(status, &answer));
+            return Err(error_message(status, &body));
         }
-        serde_json::from_value(answer).map(Some).map_err(|error| error.to_string())
+        serde_json::from_value(body).map(Some).map_err(|error| error.to_string())
     }
 
     async fn list(&self) -> Result<Vec<ResourceObject>, String> {
@@ -259,9 +259,9 @@
     }
 }
 
-fn explain(status: StatusCode, answer: &Value) -> String {
-    let reason = answer["reason"].as_str().unwrap_or("no reason given");
-    match answer["field"].as_str() {
+fn error_message(status: StatusCode, body: &Value) -> String {
+    let reason = body["reason"].as_str().unwrap_or("no reason given");
+    match body["field"].as_str() {
         Some(field) => format!("field {field}: {reason}"),
         None => format!("{status}: {reason}"),
     }
@@ -269,23 +269,23 @@
 
 fn parse_kind(name: &str) -> Result<ObjectKind, String> {
     ObjectKind::from_name(name).ok_or_else(|| {
-        format!("{name:?} is no kind: use service, target, mandate, placement or status")
+        format!("unknown kind {name:?}: use service, target, mandate, placement or status")
     })
 }
 
-/// The spec with every default written out, so that equal declarations compare equal.
-fn normal_spec(object: &ResourceObject) -> Result<Value, String> {
+/// Spec with all defaults filled in, so that equivalent declarations compare equal.
+fn normalized_spec(object: &ResourceObject) -> Result<Value, String> {
     let text = object.spec.to_string();
-    let normal = match object.kind {
+    let normalized = match object.kind {
         ObjectKind::Service => read_json::<nickellead_api::ServiceSpec>(text.as_bytes())
             .map(|spec| serde_json::to_value(spec).unwrap_or_default()),
         ObjectKind::Target => read_json::<nickellead_api::TargetSpec>(text.as_bytes())
             .map(|spec| serde_json::to_value(spec).unwrap_or_default()),
         ObjectKind::Mandate | ObjectKind::Placement => {
-            return Err(format!("{} is written by the system only", object.kind.as_str()));
+            return Err(format!("{} is only written by the system", object.kind.as_str()));
         }
     };
-    normal.map_err(|error| format!("{}/{}: {error}", object.kind.as_str(), object.name))
+    normalized.map_err(|error| format!("{}/{}: {error}", object.kind.as_str(), object.name))
 }
 
 fn declaration_files(path: &Path) -> Result<Vec<PathBuf>, String> {
@@ -301,15 +301,15 @@
 }
 
 fn read_declarations(path: &Path) -> Result<Vec<ResourceObject>, String> {
-    let shown = path.display();
-    let text = std::fs::read(path).map_err(|error| format!("{shown}: {error}"))?;
+    let display = path.display();
+    let text = std::fs::read(path).map_err(|error| format!("{display}: {error}"))?;
     let value: Value =
-        serde_json::from_slice(&text).map_err(|error| format!("{shown}: {error}"))?;
+        serde_json::from_slice(&text).map_err(|error| format!("{display}: {error}"))?;
     let text = match value {
         list @ Value::Array(_) => list,
         one => Value::Array(vec![one]),
     };
-    read_json(text.to_string().as_bytes()).map_err(|error| format!("{shown}: {error}"))
+    read_json(text.to_string().as_bytes()).map_err(|error| format!("{display}: {error}"))
 }
 
 fn summary(object: &ResourceObject) -> String {
@@ -331,16 +331,16 @@
     }
 }
 
-/// What the VM that was asked knows of the object.
+/// Status of the object as known to the VM that responded.
 fn status_summary(object: &ResourceObject) -> String {
     let Some(status) = &object.status else { return "status=unknown".to_owned() };
     let in_force = format!("in_force={}", status["in_force"]);
     match status["zones"].as_array() {
         None => format!("{in_force} shards={}", status["shards"]),
         Some(zones) => {
-            let sum =
+            let total =
                 |field: &str| zones.iter().filter_map(|zone| zone[field].as_u64()).sum::<u64>();
-            let (served, moving, nobody) = (sum("served"), sum("moving"), sum("nobody"));
+            let (served, moving, nobody) = (total("served"), total("moving"), total("nobody"));
             format!("{in_force} served={served} moving={moving} nobody={nobody}")
         }
     }
@@ -354,7 +354,7 @@
     actix_rt::Runtime::new().map_err(|error| error.to_string())?.block_on(work)
 }
 
-fn finish(outcome: Result<(), String>) -> ExitCode {
+fn exit_code(outcome: Result<(), String>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => fail(EXIT_USAGE, &message),
