--- a/crates/nickellead_standin/src/lib.rs
+++ b/crates/nickellead_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for platform, targets and callers, for tests, trials and benches.
+//! Stand-ins for platform, targets and callers, for tests, trials and benchmarks.
 //!
-//! They speak the same protocols as the real ones over real sockets, and can
-//! be told to fail in the ways that the real ones fail.
+//! They use the protocols of the real ones over real sockets, and can
+//! inject faults.
 
 mod effect;
 mod load;
