--- a/crates/nickellead_standin/src/effect.rs
+++ b/crates/nickellead_standin/src/effect.rs
@@ -1,31 +1,31 @@
-//! What stand-in targets record of the requests that had their effect.
+//! Records of the requests that stand-in targets executed.
 
 use std::path::Path;
 
 use nickellead_core::Name;
 use serde::{Deserialize, Serialize};
 
-/// One request that had its effect.
+/// One executed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EffectRecord {
-    /// When, in microseconds on the machine's clock.
+    /// Time of execution, in microseconds of the machine's boot clock.
     pub at_us: u64,
-    /// The target that ran it.
+    /// Name of the target that executed it.
     pub target: Name,
-    /// The service.
+    /// Name of the service, from the first segment of the path.
     pub service: String,
-    /// The caller's number of the operation; 0 when it gave none.
+    /// Operation number set by the caller; 0 without one.
     pub operation: u64,
-    /// The shard it ran under.
+    /// Shard of the grant that admitted it.
     pub shard: u32,
-    /// The epoch it ran under.
+    /// Epoch of the grant that admitted it.
     pub epoch: u64,
 }
 
-/// Reads the effects that a target appended to a file; a torn last line is left out.
+/// Reads the records that a target appended to a file; skips unreadable lines, such as a torn last one.
 ///
 /// # Errors
-/// The system's error when the file can't be read.
+/// Returns the I/O error if the file can't be read.
 pub fn read_effects(path: &Path) -> std::io::Result<Vec<EffectRecord>> {
     let text = std::fs::read_to_string(path)?;
     Ok(text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect())
