--- a/crates/nickellead_standin/src/platform.rs
+++ b/crates/nickellead_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's object API.
+//! Stand-in for the platform's object API.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,27 +15,27 @@
 use crate::serve::{StandinServer, empty, json, query_number, read_all};
 use crate::store::{ObjectStore, StoreError};
 
-/// Between two looks of a waiting watch.
-const WATCH_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a waiting watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Ways to fail, changed while it runs.
+/// Injected faults; they can be changed at run time by a request to `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
-    /// Every call ends with an error and has no effect.
+    /// Whether every call fails without an effect.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// Of 1,000 writes, this many take effect and lose their answer.
+    /// Number of writes in 1,000 that take effect but lose their response.
     pub lost_answers: u32,
 }
 
-/// How the stand-in starts.
+/// Settings at the start of the stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Its list of VMs.
+    /// List of VMs that it serves.
     pub vms: Vec<ListedVm>,
 }
 
@@ -46,7 +46,7 @@
     faults: PlatformFaults,
 }
 
-/// A running stand-in.
+/// Handle of a running stand-in; dropping the last clone stops it.
 #[derive(Clone, Debug)]
 pub struct StandinPlatform {
     state: Arc<Mutex<PlatformState>>,
@@ -54,10 +54,10 @@
 }
 
 impl StandinPlatform {
-    /// Starts it on a thread of its own.
+    /// Starts the stand-in on its own thread.
     ///
     /// # Errors
-    /// The system's error when the address can't be listened on.
+    /// Returns the I/O error if the address can't be bound.
     pub fn start(settings: PlatformSettings) -> std::io::Result<Self> {
         let state = PlatformState { vms: settings.vms, ..PlatformState::default() };
         let state = Arc::new(Mutex::new(state));
@@ -66,13 +66,13 @@
             let service = Rc::new(PlatformService { state: shared });
             move |request| {
                 let service = Rc::clone(&service);
-                async move { service.answer(request).await }
+                async move { service.respond(request).await }
             }
         })?;
         Ok(Self { state, _server: Arc::new(server) })
     }
 
-    /// The objects as they are now.
+    /// Copy of the current objects.
     #[must_use]
     pub fn store(&self) -> ObjectStore {
         lock(&self.state).store.clone()
@@ -88,12 +88,12 @@
 }
 
 impl PlatformService {
-    async fn answer(&self, mut request: Request) -> Response<BoxBody> {
+    async fn respond(&self, mut request: Request) -> Response<BoxBody> {
         let body = read_all(&mut request).await;
         let path = request.path().to_owned();
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        if let ["admin", what] = parts.as_slice() {
-            return self.administer(what, &body);
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        if let ["admin", command] = segments.as_slice() {
+            return self.administer(command, &body);
         }
         let faults = lock(&self.state).faults;
         if faults.slow_ms > 0 {
@@ -103,22 +103,22 @@
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let query = request.uri().query().unwrap_or_default().to_owned();
-        let response = self.call(request.method(), &parts, &query, &body).await;
-        let lost = fastrand::u32(0..1_000) < faults.lost_answers;
-        if lost && request.method() != Method::GET {
+        let response = self.handle_call(request.method(), &segments, &query, &body).await;
+        let response_lost = fastrand::u32(0..1_000) < faults.lost_answers;
+        if response_lost && request.method() != Method::GET {
             return empty(StatusCode::GATEWAY_TIMEOUT);
         }
         response
     }
 
-    async fn call(
+    async fn handle_call(
         &self,
         method: &Method,
-        parts: &[&str],
+        segments: &[&str],
         query: &str,
         body: &[u8],
     ) -> Response<BoxBody> {
-        match (method.as_str(), parts) {
+        match (method.as_str(), segments) {
             ("GET", ["v1", "vms"]) => json(StatusCode::OK, &lock(&self.state).vms),
             ("GET", ["v1", "objects"]) => {
                 json(StatusCode::OK, &lock(&self.state).store.list_declared())
@@ -128,13 +128,13 @@
                 let (Some(kind), Ok(name)) = (ObjectKind::from_name(kind), Name::new(name)) else {
                     return empty(StatusCode::NOT_FOUND);
                 };
-                self.object(method, kind, &name, query, body)
+                self.handle_object(method, kind, &name, query, body)
             }
             _ => empty(StatusCode::NOT_FOUND),
         }
     }
 
-    fn object(
+    fn handle_object(
         &self,
         method: &str,
         kind: ObjectKind,
@@ -144,11 +144,11 @@
     ) -> Response<BoxBody> {
         let mut state = lock(&self.state);
         let expected = Version(query_number(query, "version").unwrap_or(0));
-        let written = match method {
+        let result = match method {
             "GET" => {
                 return match state.store.get(kind, name) {
                     Ok(object) => json(StatusCode::OK, &object),
-                    Err(error) => refuse(error),
+                    Err(error) => error_response(error),
                 };
             }
             "PUT" => match serde_json::from_slice(body) {
@@ -158,16 +158,16 @@
             "DELETE" => state.store.delete(kind, name, expected),
             _ => return empty(StatusCode::METHOD_NOT_ALLOWED),
         };
-        match written {
+        match result {
             Ok(version) => json(StatusCode::OK, &WriteReceipt { version }),
-            Err(error) => refuse(error),
+            Err(error) => error_response(error),
         }
     }
 
     async fn watch(&self, query: &str) -> Response<BoxBody> {
         let from = Version(query_number(query, "from").unwrap_or(0));
-        let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
-        let end = Instant::now() + wait;
+        let timeout = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
+        let deadline = Instant::now() + timeout;
         loop {
             {
                 let state = lock(&self.state);
@@ -175,20 +175,20 @@
                     return empty(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 match state.store.changes_since(from) {
-                    Err(error) => return refuse(error),
-                    Ok(page) if !page.events.is_empty() || Instant::now() >= end => {
+                    Err(error) => return error_response(error),
+                    Ok(page) if !page.events.is_empty() || Instant::now() >= deadline => {
                         return json(StatusCode::OK, &page);
                     }
                     Ok(_) => {}
                 }
             }
-            actix_rt::time::sleep(WATCH_POLL).await;
+            actix_rt::time::sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 
-    fn administer(&self, what: &str, body: &[u8]) -> Response<BoxBody> {
+    fn administer(&self, command: &str, body: &[u8]) -> Response<BoxBody> {
         let mut state = lock(&self.state);
-        match what {
+        match command {
             "faults" => match serde_json::from_slice(body) {
                 Ok(faults) => state.faults = faults,
                 Err(_) => return empty(StatusCode::BAD_REQUEST),
@@ -204,7 +204,7 @@
     }
 }
 
-fn refuse(error: StoreError) -> Response<BoxBody> {
+fn error_response(error: StoreError) -> Response<BoxBody> {
     match error {
         StoreError::NotFound => empty(StatusCode::NOT_FOUND),
         StoreError::Compacted => empty(StatusCode::GONE),
