--- a/crates/nickellead_standin/src/store.rs
+++ b/crates/nickellead_standin/src/store.rs
@@ -1,4 +1,4 @@
-//! Versioned objects in memory, with a bounded history of changes.
+//! In-memory store of versioned objects, with a bounded history of changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,31 +6,31 @@
 use nickellead_core::{Name, Version};
 use nickellead_platform::{ObjectList, WatchEvent, WatchPage};
 
-/// Changes kept for watches.
-const HISTORY_LENGTH: usize = 1_024;
+/// Maximum number of changes kept for watches.
+const MAX_HISTORY_EVENTS: usize = 1_024;
 
-/// Why the store refuses.
+/// Reason why the store rejects a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// There is no such object.
     NotFound,
-    /// The object has this version.
+    /// The expected version differs; the object has this one.
     Conflict(Version),
-    /// The history does not reach back that far.
+    /// The history no longer holds changes since the requested revision.
     Compacted,
 }
 
-/// The platform's objects.
+/// Objects of the platform with the history of their changes.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectStore {
     revision: Version,
     objects: BTreeMap<(ObjectKind, Name), ResourceObject>,
     history: VecDeque<WatchEvent>,
-    compacted: Version,
+    compacted_revision: Version,
 }
 
 impl ObjectStore {
-    /// The newest revision.
+    /// Revision of the last write; zero before the first one.
     #[must_use]
     pub const fn revision(&self) -> Version {
         self.revision
@@ -39,30 +39,30 @@
     /// Reads one object.
     ///
     /// # Errors
-    /// [`StoreError::NotFound`].
+    /// Returns [`StoreError::NotFound`] if there is no such object.
     pub fn get(&self, kind: ObjectKind, name: &Name) -> Result<ResourceObject, StoreError> {
         let object = self.objects.get(&(kind, name.clone()));
         object.cloned().ok_or(StoreError::NotFound)
     }
 
-    /// Every declared object.
+    /// All declared objects and the current revision.
     #[must_use]
     pub fn list_declared(&self) -> ObjectList {
         let declared = self.objects.values().filter(|object| object.kind.is_declared());
         ObjectList { revision: self.revision, items: declared.cloned().collect() }
     }
 
-    /// Every object of a kind.
+    /// All objects of a kind, ordered by name.
     #[must_use]
     pub fn list(&self, kind: ObjectKind) -> Vec<ResourceObject> {
         let objects = self.objects.values();
         objects.filter(|object| object.kind == kind).cloned().collect()
     }
 
-    /// Writes one object if it has the expected version; 0 means absent.
+    /// Writes one object if it has the expected version; version 0 expects no object.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] when the version differs.
+    /// Returns [`StoreError::Conflict`] if the version differs.
     pub fn put(
         &mut self,
         kind: ObjectKind,
@@ -82,7 +82,7 @@
     /// Deletes one object if it has the expected version.
     ///
     /// # Errors
-    /// [`StoreError::NotFound`] or [`StoreError::Conflict`].
+    /// Returns [`StoreError::NotFound`] or [`StoreError::Conflict`].
     pub fn delete(
         &mut self,
         kind: ObjectKind,
@@ -97,23 +97,23 @@
         Ok(self.revision)
     }
 
-    /// Changes of declared objects after a revision.
+    /// Changes of declared objects after the revision `from`.
     ///
     /// # Errors
-    /// [`StoreError::Compacted`] when the history does not reach back that far.
+    /// Returns [`StoreError::Compacted`] if the history no longer holds these changes.
     pub fn changes_since(&self, from: Version) -> Result<WatchPage, StoreError> {
-        if from < self.compacted {
+        if from < self.compacted_revision {
             return Err(StoreError::Compacted);
         }
-        let after = self.history.iter().filter(|event| event.revision > from);
-        let events = after.filter(|event| event.kind.is_declared()).cloned().collect();
+        let newer = self.history.iter().filter(|event| event.revision > from);
+        let events = newer.filter(|event| event.kind.is_declared()).cloned().collect();
         Ok(WatchPage { revision: self.revision, events })
     }
 
-    /// Forgets the history, as a compaction does.
+    /// Discards the history of changes.
     pub fn compact(&mut self) {
         self.history.clear();
-        self.compacted = self.revision;
+        self.compacted_revision = self.revision;
     }
 
     fn check_version(
@@ -127,10 +127,10 @@
     }
 
     fn record(&mut self, kind: ObjectKind, name: &Name, object: Option<ResourceObject>) {
-        if self.history.len() == HISTORY_LENGTH
+        if self.history.len() == MAX_HISTORY_EVENTS
             && let Some(oldest) = self.history.pop_front()
         {
-            self.compacted = oldest.revision;
+            self.compacted_revision = oldest.revision;
         }
         let (name, revision) = (name.clone(), self.revision);
         self.history.push_back(WatchEvent { kind, name, object, revision });
