--- a/crates/nickellead_standin/src/load.rs
+++ b/crates/nickellead_standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for callers: bounded load with a record of every answer.
+//! Stand-ins for callers: a load of limited duration with a record of every outcome.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,72 +8,71 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::target::{OPERATION_HEADER, TargetAnswer};
+use crate::target::{OPERATION_HEADER, TargetResponse};
 
-/// Which requests a group of callers sends.
+/// Requests of one group of callers.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
-    /// Name of the service.
+    /// Name of the service, the first segment of the path.
     pub service: String,
-    /// Name of the operation.
+    /// Name of the operation, the second segment of the path.
     pub operation: String,
-    /// HTTP method.
+    /// HTTP method; an invalid one is sent as GET.
     pub method: String,
-    /// Whether the operation may not be repeated.
+    /// Whether each operation may run at most once; it then carries a unique number.
     pub at_most_once: bool,
-    /// Callers that send side by side.
+    /// Number of concurrent callers.
     pub callers: u32,
-    /// Keys that they name, by a Zipf law.
+    /// Number of keys, requested with a Zipf distribution.
     pub keys: u32,
 }
 
-/// A bounded load.
+/// Settings of a load of limited duration.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Entry VMs, each used in turn as a balancer does.
+    /// Addresses of entry VMs, used round robin.
     pub entry_addresses: Vec<SocketAddr>,
-    /// The groups of callers.
+    /// Groups of callers, which run concurrently.
     pub groups: Vec<CallerSettings>,
-    /// How long it lasts.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Pause of a caller between two requests.
+    /// Delay of a caller between an outcome and its next request.
     pub think_time: Duration,
-    /// Seed of keys and order, and part of each operation's number.
+    /// Seed of the random keys, and prefix of each operation number.
     pub seed: u64,
 }
 
-/// What callers recorded.
+/// Outcomes that the callers recorded.
 #[derive(Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers of targets.
+    /// Number of complete responses of targets.
     pub answered: u64,
-    /// Answers that say "not run".
+    /// Number of responses with the outcome `not-run`.
     pub refused: u64,
-    /// Answers that say "unknown", and answers that never came whole.
+    /// Number of responses with the outcome `unknown`, and of missing or incomplete responses.
     pub unknown: u64,
-    /// Answers that were for another request.
+    /// Number of responses to a different request.
     pub wrong_answers: u64,
-    /// Errors by code.
+    /// Number of errors by code.
     pub errors: HashMap<String, u64>,
-    /// Operations that callers were told did not run.
+    /// Numbers of operations with the outcome `not-run`.
     pub not_run: Vec<u64>,
-    /// Operations with a whole answer.
+    /// Numbers of operations with a complete response.
     pub done: Vec<u64>,
-    /// How long each key that failed was seen unavailable, in milliseconds: from its first
-    /// failure to its last one before the next answer. A key that is asked for seldom shows
-    /// less than was so; keys that are asked for often show it all.
+    /// Unavailability of each path that failed and recovered, in milliseconds: from its first failure to
+    /// the last one before the next complete response. This is a lower bound for rarely requested keys.
     pub unavailable_ms: Vec<u64>,
-    /// When something was refused or unknown: milliseconds since the start.
+    /// Time of each refused or unknown outcome, in milliseconds since the start.
     pub failures_ms: Vec<u64>,
-    /// Latency of answered requests, in microseconds: p50, p99, maximum.
+    /// Latency of completed requests, in microseconds: p50, p99 and maximum.
     pub latency_us: [u64; 3],
 }
 
 enum CallerOutcome {
-    Done,
-    Wrong,
+    Completed,
+    WrongResponse,
     NotRun(String),
     Unknown(String),
 }
@@ -82,11 +81,11 @@
     report: LoadReport,
     latency: Option<Histogram<u64>>,
     start: Instant,
-    /// First and last failure of a path, while it fails.
+    /// Start of the first and time of the last failure of each path that currently fails.
     failing: HashMap<String, (Instant, Instant)>,
 }
 
-/// Sends a load from the current thread's runtime and returns the record.
+/// Runs a load on the current thread's runtime and returns the recorded outcomes.
 pub async fn run_load(settings: LoadSettings) -> LoadReport {
     let recorder = std::rc::Rc::new(std::cell::RefCell::new(Recorder {
         report: LoadReport::default(),
@@ -105,7 +104,7 @@
         }
     }
     for caller in callers {
-        // A caller that panicked was already reported on standard error.
+        // The panic hook has already reported a caller that panicked.
         let _ = caller.await;
     }
     let mut recorder = recorder.borrow_mut();
@@ -131,15 +130,15 @@
         count += 1;
         let unique = (settings.seed << 48) | (number << 32) | count;
         let operation = if group.at_most_once { unique } else { 0 };
-        let place = (number + count) as usize % settings.entry_addresses.len().max(1);
-        let Some(entry) = settings.entry_addresses.get(place) else {
+        let index = (number + count) as usize % settings.entry_addresses.len().max(1);
+        let Some(entry) = settings.entry_addresses.get(index) else {
             return;
         };
         let key = zipf(group.keys, &mut rng);
         let path = format!("/{}/{}/key-{key}", group.service, group.operation);
-        let begun = Instant::now();
+        let started = Instant::now();
         let outcome = send(&client, *entry, &group.method, &path, operation).await;
-        recorder.borrow_mut().note(outcome, operation, &path, begun);
+        recorder.borrow_mut().record(outcome, operation, &path, started);
         actix_rt::time::sleep(settings.think_time).await;
     }
 }
@@ -157,7 +156,7 @@
         .insert_header((OPERATION_HEADER, operation.to_string()));
     let mut response = match request.send().await {
         Ok(response) => response,
-        Err(error) => return CallerOutcome::Unknown(format!("no answer: {error}")),
+        Err(error) => return CallerOutcome::Unknown(format!("no response: {error}")),
     };
     let header = |name: &str| {
         let value = response.headers().get(name)?.to_str().ok()?;
@@ -170,41 +169,41 @@
             _ => CallerOutcome::Unknown(code),
         };
     }
-    match response.json::<TargetAnswer>().await {
-        Ok(answer) if answer.path == path && answer.operation == operation => CallerOutcome::Done,
-        Ok(_) => CallerOutcome::Wrong,
-        Err(error) => CallerOutcome::Unknown(format!("answer not whole: {error}")),
+    match response.json::<TargetResponse>().await {
+        Ok(body) if body.path == path && body.operation == operation => CallerOutcome::Completed,
+        Ok(_) => CallerOutcome::WrongResponse,
+        Err(error) => CallerOutcome::Unknown(format!("incomplete response: {error}")),
     }
 }
 
-/// A key by a Zipf law with exponent 1, by inverting its continuous form.
+/// Draws a key from a Zipf distribution with exponent 1, by inverting its continuous form.
 fn zipf(keys: u32, rng: &mut fastrand::Rng) -> u32 {
-    let most = f64::from(keys.max(1));
-    let drawn = (most + 1.0).powf(rng.f64());
-    (drawn as u32).saturating_sub(1).min(keys.saturating_sub(1))
+    let max = f64::from(keys.max(1));
+    let rank = (max + 1.0).powf(rng.f64());
+    (rank as u32).saturating_sub(1).min(keys.saturating_sub(1))
 }
 
 impl Recorder {
-    fn note(&mut self, outcome: CallerOutcome, operation: u64, path: &str, begun: Instant) {
+    fn record(&mut self, outcome: CallerOutcome, operation: u64, path: &str, started: Instant) {
         let report = &mut self.report;
         report.sent += 1;
         let code = match outcome {
-            CallerOutcome::Done => {
+            CallerOutcome::Completed => {
                 report.answered += 1;
                 if let Some((first, last)) = self.failing.remove(path) {
-                    let length = last.duration_since(first);
-                    report.unavailable_ms.push(length.as_millis() as u64);
+                    let duration = last.duration_since(first);
+                    report.unavailable_ms.push(duration.as_millis() as u64);
                 }
                 if operation > 0 {
                     report.done.push(operation);
                 }
                 if let Some(latency) = &mut self.latency {
-                    // Beyond the histogram's range it counts as its maximum.
-                    latency.saturating_record(begun.elapsed().as_micros() as u64);
+                    // Values above the range of the histogram count as its maximum.
+                    latency.saturating_record(started.elapsed().as_micros() as u64);
                 }
                 return;
             }
-            CallerOutcome::Wrong => {
+            CallerOutcome::WrongResponse => {
                 report.wrong_answers += 1;
                 return;
             }
@@ -221,7 +220,7 @@
             }
         };
         let now = Instant::now();
-        self.failing.entry(path.to_owned()).or_insert((begun, now)).1 = now;
+        self.failing.entry(path.to_owned()).or_insert((started, now)).1 = now;
         report.failures_ms.push(self.start.elapsed().as_millis() as u64);
         *report.errors.entry(code).or_default() += 1;
     }
--- a/crates/nickellead_standin/src/serve.rs
+++ b/crates/nickellead_standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! A thread that answers HTTP requests, and small answers.
+//! HTTP server on its own thread, and helpers for requests and responses.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// Connections that a stand-in takes.
-const CONNECTIONS_MAX: usize = 8_192;
+/// Maximum number of concurrent connections of a stand-in.
+const MAX_CONNECTIONS: usize = 8_192;
 
-/// A server on a thread of its own, stopped when dropped.
+/// HTTP server on its own thread; stops when dropped.
 #[derive(Debug)]
 pub(crate) struct StandinServer {
     state: Arc<ServeState>,
-    lost: Arc<Notify>,
+    crash_signal: Arc<Notify>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl StandinServer {
-    /// Starts answering at `address`; `make` builds the handler on the new thread.
-    pub(crate) fn start<M, H, F>(address: SocketAddr, make: M) -> std::io::Result<Self>
+    /// Starts serving at `address`; `make_handler` builds the handler on the new thread.
+    pub(crate) fn start<M, H, F>(address: SocketAddr, make_handler: M) -> std::io::Result<Self>
     where
         M: FnOnce() -> H + Send + 'static,
         H: Fn(Request) -> F + Clone + 'static,
@@ -36,26 +36,26 @@
         let listener = bind_listener(address)?;
         let state = Arc::new(ServeState::default());
         let shared = Arc::clone(&state);
-        let lost = Arc::new(Notify::new());
-        let ended = Arc::clone(&lost);
+        let crash_signal = Arc::new(Notify::new());
+        let crashed = Arc::clone(&crash_signal);
         let thread = std::thread::Builder::new().name("standin".to_owned()).spawn(move || {
             if let Ok(runtime) = actix_rt::Runtime::new() {
                 runtime.block_on(async move {
-                    // When it is lost, the runtime ends and cuts every connection.
+                    // After a crash signal the runtime ends, which closes all connections.
                     tokio::select! {
-                        () = serve_http(listener, CONNECTIONS_MAX, shared, make()) => {}
-                        () = ended.notified() => {}
+                        () = serve_http(listener, MAX_CONNECTIONS, shared, make_handler()) => {}
+                        () = crashed.notified() => {}
                     }
                 });
             }
         })?;
-        Ok(Self { state, lost, thread: Some(thread) })
+        Ok(Self { state, crash_signal, thread: Some(thread) })
     }
 
-    /// Ends at once, as a machine that is taken away: every connection breaks.
-    pub(crate) fn lose(&self) {
+    /// Simulates a crash of the machine: stops at once and breaks all connections.
+    pub(crate) fn crash(&self) {
         self.state.stop();
-        self.lost.notify_one();
+        self.crash_signal.notify_one();
     }
 }
 
@@ -63,23 +63,23 @@
     fn drop(&mut self) {
         self.state.stop();
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread was already reported on standard error.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
 }
 
-/// Reads a request's body, whatever its length.
+/// Reads the body of a request, without a size limit.
 pub(crate) async fn read_all(request: &mut Request) -> Vec<u8> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
-    while let Some(Ok(part)) = payload.next().await {
-        body.extend_from_slice(&part);
+    while let Some(Ok(chunk)) = payload.next().await {
+        body.extend_from_slice(&chunk);
     }
     body.to_vec()
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, body: &T) -> Response<BoxBody> {
     let body = serde_json::to_string(body).unwrap_or_default();
     let mut builder = Response::build(status);
@@ -87,12 +87,12 @@
     builder.body(body).map_into_boxed_body()
 }
 
-/// An answer with no body.
+/// Builds a response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<BoxBody> {
     Response::build(status).finish().map_into_boxed_body()
 }
 
-/// One parameter of a query.
+/// Parses the value of one query parameter; `None` if missing or not a number.
 pub(crate) fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
--- a/crates/nickellead_standin/src/target.rs
+++ b/crates/nickellead_standin/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a target: slots, service time, sheds, and the grant guard.
+//! Stand-in for a target: runs requests in slots, sheds excess load and checks grants with the grant guard.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -23,25 +23,25 @@
 use crate::effect::EffectRecord;
 use crate::serve::{StandinServer, empty, json, read_all};
 
-/// Header with a caller's own number of an operation.
+/// Header with the caller's number of an operation.
 pub(crate) const OPERATION_HEADER: &str = "x-operation-id";
 
-/// How a stand-in target starts.
+/// Settings of a stand-in target.
 #[derive(Clone, Debug)]
 pub struct TargetSettings {
-    /// Its name, as declared.
+    /// Name of the declared target.
     pub name: Name,
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Requests it runs side by side.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
-    /// Requests that may wait for a slot before it sheds.
+    /// Maximum number of requests that wait for a slot; more are shed.
     pub queue_capacity: u16,
-    /// How long a request runs, in microseconds.
+    /// Service time of a request, in microseconds.
     pub service_time_us: u64,
 }
 
-/// State that all stand-in targets of one process share: the users' own data.
+/// Application data that all stand-in targets of one process share.
 #[derive(Clone, Debug, Default)]
 pub struct SharedState(Arc<Mutex<SharedTables>>);
 
@@ -53,10 +53,10 @@
 }
 
 impl SharedState {
-    /// State whose effects are also appended to a file, a line of JSON each.
+    /// Creates a state that also appends every effect to a file, one line of JSON each.
     ///
     /// # Errors
-    /// The system's error when the file can't be opened.
+    /// Returns the I/O error if the file can't be opened.
     pub fn with_effects_file(path: &Path) -> std::io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let tables = SharedTables { file: Some(file), ..SharedTables::default() };
@@ -67,23 +67,23 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Every effect so far.
+    /// Copy of all effects recorded by this process.
     #[must_use]
     pub fn effects(&self) -> Vec<EffectRecord> {
         self.lock().effects.clone()
     }
 
-    /// Lets a request have its effect; returns the path's count after it.
+    /// Increments the counter of the path, records the effect and returns the new count.
     ///
-    /// The time is taken under the lock, so that effects are in order of time.
-    fn effect(&self, path: &str, make: impl FnOnce(u64) -> EffectRecord) -> u64 {
+    /// Reads the clock under the lock, so that effects are ordered by time.
+    fn apply_effect(&self, path: &str, make_record: impl FnOnce(u64) -> EffectRecord) -> u64 {
         let mut tables = self.lock();
         let counter = tables.counters.entry(path.to_owned()).or_default();
         *counter += 1;
         let count = *counter;
-        let record = make(BootClock.micros());
+        let record = make_record(BootClock.micros());
         if let (Some(file), Ok(line)) = (&mut tables.file, serde_json::to_string(&record)) {
-            // A target that can't write its journal must not answer "done".
+            // A target that can't record an effect must not report success.
             file.write_all(format!("{line}\n").as_bytes())
                 .unwrap_or_else(|_| std::process::abort());
         }
@@ -92,52 +92,52 @@
     }
 }
 
-/// A running stand-in target.
+/// Handle of a running stand-in target.
 #[derive(Clone, Debug)]
 pub struct StandinTarget {
     guard: Arc<Mutex<GrantGuard>>,
-    lost: Arc<AtomicBool>,
+    crashed: Arc<AtomicBool>,
     server: Arc<StandinServer>,
 }
 
 impl StandinTarget {
-    /// Starts it on a thread of its own, as a new life that holds nothing.
+    /// Starts a new instance without grants on its own thread.
     ///
     /// # Errors
-    /// The system's error when the address can't be listened on.
+    /// Returns the I/O error if the address can't be bound.
     pub fn start(settings: TargetSettings, shared: SharedState) -> std::io::Result<Self> {
         let key = TargetKey::from(&settings.name);
         let guard = GrantGuard::new(key, Incarnation(fastrand::u64(1..)));
         let guard = Arc::new(Mutex::new(guard));
-        let for_service = Arc::clone(&guard);
+        let service_guard = Arc::clone(&guard);
         let server = StandinServer::start(settings.address, move || {
             let slots = Rc::new(Semaphore::new(usize::from(settings.slots)));
             let service = Rc::new(TargetService {
                 settings,
-                guard: for_service,
+                guard: service_guard,
                 shared,
                 slots,
                 waiting: std::cell::Cell::new(0),
             });
             move |request| {
                 let service = Rc::clone(&service);
-                async move { service.answer(request).await }
+                async move { service.respond(request).await }
             }
         })?;
-        Ok(Self { guard, lost: Arc::default(), server: Arc::new(server) })
+        Ok(Self { guard, crashed: Arc::default(), server: Arc::new(server) })
     }
 
-    /// Whether it may run requests for a shard now.
+    /// Whether the target may run requests for a shard now.
     #[must_use]
     pub fn owns(&self, shard: ShardIndex) -> bool {
-        let lost = self.lost.load(Ordering::Relaxed);
-        !lost && lock(&self.guard).owns(shard, BootClock.now())
+        let crashed = self.crashed.load(Ordering::Relaxed);
+        !crashed && lock(&self.guard).owns(shard, BootClock.now())
     }
 
-    /// The shards that it may run requests for now.
+    /// Shards that the target may run requests for now.
     #[must_use]
     pub fn owned_shards(&self) -> Vec<ShardIndex> {
-        if self.lost.load(Ordering::Relaxed) {
+        if self.crashed.load(Ordering::Relaxed) {
             return Vec::new();
         }
         let guard = lock(&self.guard);
@@ -146,17 +146,17 @@
         grants.map(|grant| grant.shard).filter(|shard| guard.owns(*shard, now)).collect()
     }
 
-    /// Says that it wants to leave.
+    /// Announces that the target wants to leave.
     pub fn announce_leaving(&self) {
         lock(&self.guard).announce_leaving();
     }
 
-    /// Ends at once, as a machine that is taken away: every connection breaks.
+    /// Simulates a crash of the machine: stops at once and breaks all connections.
     ///
-    /// What it owned it owns no more: nothing of it runs.
+    /// A crashed target owns no shard.
     pub fn crash(&self) {
-        self.lost.store(true, Ordering::Relaxed);
-        self.server.lose();
+        self.crashed.store(true, Ordering::Relaxed);
+        self.server.crash();
     }
 }
 
@@ -173,7 +173,7 @@
 }
 
 impl TargetService {
-    async fn answer(&self, mut request: Request) -> Response<BoxBody> {
+    async fn respond(&self, mut request: Request) -> Response<BoxBody> {
         let body = read_all(&mut request).await;
         if request.path() == "/nickellead/order" {
             return match serde_json::from_slice::<TargetOrder>(&body) {
@@ -192,8 +192,8 @@
         }
         let id = header_number(request.headers(), REQUEST_ID_HEADER).unwrap_or(0);
         let mut response = match self.run(&request).await {
-            Ok(answer) => json(StatusCode::OK, &answer),
-            Err(reason) => refuse(reason),
+            Ok(result) => json(StatusCode::OK, &result),
+            Err(reason) => refusal_response(reason),
         };
         if let Ok(value) = actix_http::header::HeaderValue::from_str(&id.to_string()) {
             let name = actix_http::header::HeaderName::from_static(REQUEST_ID_HEADER);
@@ -202,7 +202,7 @@
         response
     }
 
-    async fn run(&self, request: &Request) -> Result<TargetAnswer, &'static str> {
+    async fn run(&self, request: &Request) -> Result<TargetResponse, &'static str> {
         let headers = request.headers();
         let shard = header_number(headers, SHARD_HEADER).ok_or("no-shard")?;
         let epoch = header_number(headers, EPOCH_HEADER).ok_or("no-epoch")?;
@@ -211,16 +211,16 @@
         let admitted = lock(&self.guard).admit(grant, BootClock.now());
         let admitted =
             AdmittedRequest { guard: &self.guard, ticket: Some(admitted.map_err(refusal_name)?) };
-        self.work(request.path(), operation, grant, &admitted).await
+        self.execute(request.path(), operation, grant, &admitted).await
     }
 
-    async fn work(
+    async fn execute(
         &self,
         path: &str,
         operation: u64,
         grant: ShardGrant,
         admitted: &AdmittedRequest<'_>,
-    ) -> Result<TargetAnswer, &'static str> {
+    ) -> Result<TargetResponse, &'static str> {
         if self.slots.available_permits() == 0 && self.waiting.get() >= self.settings.queue_capacity
         {
             return Err("busy");
@@ -231,11 +231,11 @@
         let _slot = slot.map_err(|_| "busy")?;
         actix_rt::time::sleep(Duration::from_micros(self.settings.service_time_us)).await;
         admitted.check_effect()?;
-        Ok(self.effect(path, operation, grant))
+        Ok(self.apply_effect(path, operation, grant))
     }
 
-    fn effect(&self, path: &str, operation: u64, grant: ShardGrant) -> TargetAnswer {
-        let count = self.shared.effect(path, |at_us| EffectRecord {
+    fn apply_effect(&self, path: &str, operation: u64, grant: ShardGrant) -> TargetResponse {
+        let count = self.shared.apply_effect(path, |at_us| EffectRecord {
             at_us,
             target: self.settings.name.clone(),
             service: path.split('/').nth(1).unwrap_or_default().to_owned(),
@@ -243,11 +243,11 @@
             shard: grant.shard.0,
             epoch: grant.epoch.0,
         });
-        TargetAnswer { path: path.to_owned(), operation, count }
+        TargetResponse { path: path.to_owned(), operation, count }
     }
 }
 
-/// A request that the guard admitted; given back also when its connection breaks.
+/// Request admitted by the guard; finished on drop, also when its connection breaks.
 struct AdmittedRequest<'a> {
     guard: &'a Mutex<GrantGuard>,
     ticket: Option<RequestTicket>,
@@ -268,7 +268,7 @@
     }
 }
 
-/// Counts one request that waits for a slot.
+/// Counts one request that waits for a slot, until dropped.
 struct WaitingRequest<'a>(&'a std::cell::Cell<u16>);
 
 impl<'a> WaitingRequest<'a> {
@@ -284,15 +284,15 @@
     }
 }
 
-/// What a stand-in target answers.
+/// Response of a stand-in target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct TargetAnswer {
+pub(crate) struct TargetResponse {
     pub(crate) path: String,
     pub(crate) operation: u64,
     pub(crate) count: u64,
 }
 
-fn refuse(reason: &'static str) -> Response<BoxBody> {
+fn refusal_response(reason: &'static str) -> Response<BoxBody> {
     let mut builder = Response::build(StatusCode::SERVICE_UNAVAILABLE);
     builder.insert_header((REFUSAL_HEADER, reason));
     builder.finish().map_into_boxed_body()
