--- a/crates/nickellead_run/src/peers/state.rs
+++ b/crates/nickellead_run/src/peers/state.rs
@@ -156,10 +156,10 @@
         }
     }
 
-    /// Applies an update of declarations from another VM. If it does not apply, the next request asks
+    /// Applies an update of declarations from another VM. If it does not apply, the next request is
     /// for a full copy.
-    fn apply_config_update(&self, news: ConfigNews) {
-        let applied = self.config.borrow_mut().take_news(news);
+    fn apply_config_update(&self, update: ConfigNews) {
+        let applied = self.config.borrow_mut().take_news(update);
         match applied {
             Ok(true) => self.publish_config(),
             Ok(false) => {}
@@ -245,8 +245,8 @@
         if let Some(coordinator) = reply.coordinator {
             self.record_coordinator(reply.term, coordinator);
         }
-        if let Some(news) = reply.config {
-            self.apply_config_update(news);
+        if let Some(update) = reply.config {
+            self.apply_config_update(update);
         }
         for delta in &reply.zones {
             self.apply_delta(delta);
