--- a/crates/nickellead_run/src/coordination.rs
+++ b/crates/nickellead_run/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The coordination thread: runs the zone's state machine and hands out its actions.
+//! Coordination thread: runs the zone's state machine and dispatches its actions.
 
 use std::thread::JoinHandle;
 
@@ -10,26 +10,26 @@
 use nickellead_time::BootClock;
 use tokio::sync::oneshot;
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::orders::OrderMessage;
 use crate::peers::PeerMessage;
-use crate::platform::{FollowMode, PlatformMessage};
-use crate::ring::{RingReceiver, RingSender, offer};
+use crate::platform::{PlatformMessage, WatchMode};
 use nickellead_event::{EventName, log_event};
 
-/// What reaches the coordination thread.
+/// Message to the coordination thread.
 #[derive(Debug)]
 pub(crate) enum CoordinationMessage {
     /// An event for the state machine.
     Event(ZoneEvent),
-    /// A detached coordinator's batch, to be answered.
+    /// Batch of owner records of a detached coordinator, and where to send the response.
     Record(RecordBatch, oneshot::Sender<RecordResponse>),
-    /// A successor's wish, to be answered with the highest term known.
+    /// Request of a successor to step down; the response is the highest known term.
     StepDown(Term, oneshot::Sender<Term>),
-    /// An operator's question.
+    /// Status request of an operator.
     Status(oneshot::Sender<CoordinationStatus>),
 }
 
-/// What operators may ask of the coordination.
+/// State of the coordination that the operators' API shows.
 #[derive(Clone, Debug)]
 pub(crate) struct CoordinationStatus {
     pub(crate) phase: MandatePhase,
@@ -39,52 +39,54 @@
     pub(crate) standbys: Vec<Name>,
 }
 
-/// Rings from coordination to the other duties.
-pub(crate) struct CoordinationRings {
-    pub(crate) platform: RingSender<PlatformMessage>,
-    pub(crate) peers: RingSender<PeerMessage>,
-    pub(crate) orders: RingSender<OrderMessage>,
+/// Channels from the coordination to the other threads.
+pub(crate) struct CoordinationChannels {
+    pub(crate) platform: ChannelSender<PlatformMessage>,
+    pub(crate) peers: ChannelSender<PeerMessage>,
+    pub(crate) orders: ChannelSender<OrderMessage>,
 }
 
 struct Coordination {
     coordinator: ZoneCoordinator,
-    rings: CoordinationRings,
+    channels: CoordinationChannels,
     zone: Name,
-    /// What was last told to the peers' thread.
+    /// Term and version of the last delta sent to the peers thread.
     published: Option<(Term, Version)>,
-    led: Option<bool>,
+    announced_leading: Option<bool>,
     standbys: Vec<VmIncarnation>,
-    mode: Option<FollowMode>,
+    watch_mode: Option<WatchMode>,
 }
 
-/// Starts the thread.
+/// Starts the coordination thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     settings: CoordinatorSettings,
-    receiver: RingReceiver<CoordinationMessage>,
-    rings: CoordinationRings,
+    receiver: ChannelReceiver<CoordinationMessage>,
+    channels: CoordinationChannels,
 ) -> std::io::Result<JoinHandle<()>> {
     let zone = settings.zone.clone();
     let coordinator = ZoneCoordinator::new(settings, BootClock.now());
-    let duty = Coordination {
+    let coordination = Coordination {
         coordinator,
-        rings,
+        channels,
         zone,
         published: None,
-        led: None,
+        announced_leading: None,
         standbys: Vec::new(),
-        mode: None,
+        watch_mode: None,
     };
-    std::thread::Builder::new().name("coordination".to_owned()).spawn(move || run(duty, receiver))
+    std::thread::Builder::new()
+        .name("coordination".to_owned())
+        .spawn(move || run(coordination, receiver))
 }
 
-fn run(mut duty: Coordination, mut receiver: RingReceiver<CoordinationMessage>) {
+fn run(mut coordination: Coordination, mut receiver: ChannelReceiver<CoordinationMessage>) {
     while let Some(message) = receiver.blocking_recv() {
-        duty.handle(message);
-        duty.publish();
-        if duty.coordinator.phase() == MandatePhase::Stopped {
+        coordination.handle(message);
+        coordination.publish();
+        if coordination.coordinator.phase() == MandatePhase::Stopped {
             return;
         }
     }
@@ -95,28 +97,28 @@
         match message {
             CoordinationMessage::Event(event) => {
                 let actions = self.step(event);
-                actions.into_iter().for_each(|action| self.act(action));
+                actions.into_iter().for_each(|action| self.execute(action));
             }
-            CoordinationMessage::Record(batch, answer) => {
+            CoordinationMessage::Record(batch, responder) => {
                 for action in self.step(ZoneEvent::RecordBatchReceived(batch)) {
-                    if let ZoneAction::SendRecordResponse(reply) = action {
-                        // The asker may be gone by now.
-                        let _ = answer.send(reply);
+                    if let ZoneAction::SendRecordResponse(response) = action {
+                        // The requester may have dropped its receiver.
+                        let _ = responder.send(response);
                         break;
                     }
-                    self.act(action);
+                    self.execute(action);
                 }
             }
-            CoordinationMessage::StepDown(term, answer) => {
+            CoordinationMessage::StepDown(term, responder) => {
                 self.step(ZoneEvent::StepDownRequested(term)).into_iter().for_each(|action| {
                     if !matches!(action, ZoneAction::ConfirmStepDown(_)) {
-                        self.act(action);
+                        self.execute(action);
                     }
                 });
-                let _ = answer.send(self.coordinator.term());
+                let _ = responder.send(self.coordinator.term());
             }
-            CoordinationMessage::Status(answer) => {
-                let _ = answer.send(self.status());
+            CoordinationMessage::Status(responder) => {
+                let _ = responder.send(self.status());
             }
         }
     }
@@ -125,16 +127,16 @@
         self.coordinator.handle(event, BootClock.now())
     }
 
-    fn act(&self, action: ZoneAction) {
+    fn execute(&self, action: ZoneAction) {
         match action {
             ZoneAction::SendOrder(order) => {
-                offer(&self.rings.orders, OrderMessage::Send(Box::new(order)));
+                try_send(&self.channels.orders, OrderMessage::Send(Box::new(order)));
             }
             ZoneAction::SendRecordBatch(vm, batch) => {
-                offer(&self.rings.peers, PeerMessage::AskRecord(vm, batch));
+                try_send(&self.channels.peers, PeerMessage::SendRecordBatch(vm, batch));
             }
             ZoneAction::RequestStepDown(vm, term) => {
-                offer(&self.rings.peers, PeerMessage::AskStepDown(vm, term));
+                try_send(&self.channels.peers, PeerMessage::RequestStepDown(vm, term));
             }
             ZoneAction::Notify(notice) => self.log(&notice),
             ZoneAction::SendRecordResponse(_) | ZoneAction::ConfirmStepDown(_) => {}
@@ -142,38 +144,41 @@
             | ZoneAction::WriteMandate(..)
             | ZoneAction::ReadPlacement(..)
             | ZoneAction::WritePlacement(..)) => {
-                offer(&self.rings.platform, PlatformMessage::Call(Box::new(call)));
+                try_send(&self.channels.platform, PlatformMessage::Call(Box::new(call)));
             }
         }
     }
 
-    /// Tells the other duties what changed: owners, and whether this VM coordinates.
+    /// Sends changes of owners, standbys, leadership and watch mode to the other threads.
     fn publish(&mut self) {
-        let leads = self.coordinator.publishes();
-        let silent = self.coordinator.has_lost_coordinator(BootClock.now());
-        if self.led.replace(leads) != Some(leads) {
-            offer(&self.rings.peers, PeerMessage::Lead(self.coordinator.term(), leads));
+        let is_leading = self.coordinator.publishes();
+        let coordinator_lost = self.coordinator.has_lost_coordinator(BootClock.now());
+        if self.announced_leading.replace(is_leading) != Some(is_leading) {
+            try_send(
+                &self.channels.peers,
+                PeerMessage::Leading(self.coordinator.term(), is_leading),
+            );
         }
         let mandate = self.coordinator.mandate();
         let standbys = mandate.map_or(&[][..], |mandate| &mandate.standbys);
-        if leads && self.standbys != standbys {
+        if is_leading && self.standbys != standbys {
             self.standbys = standbys.to_vec();
-            offer(&self.rings.peers, PeerMessage::Standbys(self.standbys.clone()));
+            try_send(&self.channels.peers, PeerMessage::Standbys(self.standbys.clone()));
         }
-        let mode = if self.coordinator.awaits_predecessor_stop() {
-            FollowMode::Urgent
-        } else if self.coordinator.coordinates() || silent {
-            FollowMode::Calm
+        let watch_mode = if self.coordinator.awaits_predecessor_stop() {
+            WatchMode::Urgent
+        } else if self.coordinator.coordinates() || coordinator_lost {
+            WatchMode::Normal
         } else {
-            FollowMode::Off
+            WatchMode::Off
         };
-        if self.mode.replace(mode) != Some(mode) {
-            offer(&self.rings.platform, PlatformMessage::Follow(mode));
+        if self.watch_mode.replace(watch_mode) != Some(watch_mode) {
+            try_send(&self.channels.platform, PlatformMessage::SetWatchMode(watch_mode));
         }
-        if leads && self.published != Some(self.coordinator.published_version()) {
+        if is_leading && self.published != Some(self.coordinator.published_version()) {
             let delta: ZoneDelta = self.coordinator.delta(self.published);
             self.published = Some((delta.term, delta.version));
-            offer(&self.rings.peers, PeerMessage::Publish(Box::new(delta)));
+            try_send(&self.channels.peers, PeerMessage::Publish(Box::new(delta)));
         }
     }
 
--- a/crates/nickellead_run/src/node.rs
+++ b/crates/nickellead_run/src/node.rs
@@ -1,4 +1,4 @@
-//! Building one VM out of its duties, and stopping it.
+//! Start and planned stop of one VM.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -14,101 +14,101 @@
 use prometheus_client::registry::Registry;
 use thiserror::Error;
 
-use crate::coordination::{CoordinationMessage, CoordinationRings};
-use crate::operators::OperatorDuty;
-use crate::peers::PeerRings;
-use crate::platform::PlatformRings;
+use crate::channel::{ChannelSender, channel, try_send};
+use crate::coordination::{CoordinationChannels, CoordinationMessage};
+use crate::operators::OperatorContext;
+use crate::peers::PeerChannels;
+use crate::platform::PlatformChannels;
 use crate::readiness::Readiness;
 use crate::requests::WorkerUpdates;
-use crate::ring::{RingSender, offer, ring};
 use crate::settings::NodeSettings;
 use crate::{coordination, operators, orders, peers, platform, requests};
 use nickellead_event::{EventName, log_event};
 
-/// Between two ticks of the coordination.
-const TICK_PERIOD: Duration = Duration::from_millis(20);
-/// Most standbys that a mandate names.
-const STANDBYS: usize = 2;
-/// Most shards of one service in planned moves at a time.
-const MOVES: usize = 64;
+/// Interval of the ticks that drive the coordination.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of standbys that a mandate (leader lease) names.
+const MAX_STANDBYS: usize = 2;
+/// Maximum number of a service's shards in planned moves at a time.
+const MAX_CONCURRENT_MOVES: usize = 64;
 
 /// Why a VM can't start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address can't be listened on.
-    #[error("{field} {address} can't be listened on: {reason}")]
+    /// A listener can't be bound to its address.
+    #[error("can't listen on {address} ({field}): {reason}")]
     Address {
-        /// The setting at fault.
+        /// Name of the setting that holds the address.
         field: &'static str,
-        /// The address.
+        /// The address that can't be bound.
         address: std::net::SocketAddr,
-        /// The system's word.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
-    /// A chart of this build is faulty.
+    /// A state chart embedded in this build is invalid.
     #[error("{0}")]
     Chart(#[from] nickellead_chart::ChartError),
-    /// The system refused a thread.
-    #[error("a thread can't be started: {0}")]
+    /// The operating system failed to start a thread.
+    #[error("failed to start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// A running VM.
+/// Handle of a running VM, used to observe and stop it.
 #[derive(Debug)]
 pub struct NodeHandle {
     settings: NodeSettings,
-    coordination: RingSender<CoordinationMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     readiness: Arc<Readiness>,
-    callers: Arc<ServeState>,
-    operators: Arc<ServeState>,
-    counter: CallCounter,
-    workers: Vec<JoinHandle<()>>,
-    coordinator: JoinHandle<()>,
+    callers_state: Arc<ServeState>,
+    operators_state: Arc<ServeState>,
+    call_counter: CallCounter,
+    worker_threads: Vec<JoinHandle<()>>,
+    coordination_thread: JoinHandle<()>,
     timer: TimerService,
 }
 
-/// Starts every duty of one VM.
+/// Starts all threads of one VM.
 ///
 /// # Errors
-/// A [`NodeError`]; nothing is left running that serves callers.
+/// Returns a [`NodeError`]; no thread that serves callers is left running.
 pub fn start_node(settings: NodeSettings) -> Result<NodeHandle, NodeError> {
     LeaseCharts::load()?;
     check_addresses(&settings)?;
     let peers_listener = listen("peers_address", settings.peers_address)?;
     let operators_listener = listen("operators_address", settings.operators_address)?;
     let incarnation = Incarnation(fastrand::u64(1..));
-    let (to_coordination, coordination_ring) = ring();
-    let (to_platform, platform_ring) = ring();
-    let (to_peers, peers_ring) = ring();
-    let (to_orders, orders_ring) = ring();
-    let counter = CallCounter::default();
+    let (to_coordination, coordination_receiver) = channel();
+    let (to_platform, platform_receiver) = channel();
+    let (to_peers, peers_receiver) = channel();
+    let (to_orders, orders_receiver) = channel();
+    let call_counter = CallCounter::default();
     let metrics = ProxyMetrics::default();
     let mut registry = Registry::with_prefix("nickellead");
     metrics.register(&mut registry);
-    let callers = Arc::new(ServeState::default());
-    let operators = Arc::new(ServeState::default());
-    let readiness = Arc::new(Readiness::of_workers(settings.workers));
+    let callers_state = Arc::new(ServeState::default());
+    let operators_state = Arc::new(ServeState::default());
+    let readiness = Arc::new(Readiness::with_workers(settings.workers));
 
-    let mut workers = Vec::new();
+    let mut worker_threads = Vec::new();
     let mut to_workers = Vec::new();
-    for place in 0..settings.workers {
-        let (to_worker, receiver) = ring();
+    for index in 0..settings.workers {
+        let (to_worker, receiver) = channel();
         to_workers.push(to_worker);
         let updates = WorkerUpdates {
             receiver,
             readiness: Arc::clone(&readiness),
-            place: usize::from(place),
+            index: usize::from(index),
         };
-        workers.push(requests::build(
+        worker_threads.push(requests::build(
             updates,
             listen("callers_address", settings.callers_address)?,
             settings.limits.to_limits(settings.workers),
-            incarnation.0.wrapping_add(u64::from(place)),
+            incarnation.0.wrapping_add(u64::from(index)),
             metrics.clone(),
-            Arc::clone(&callers),
+            Arc::clone(&callers_state),
         )?);
     }
-    let rings = PeerRings {
+    let channels = PeerChannels {
         coordination: to_coordination.clone(),
         orders: to_orders.clone(),
         workers: to_workers,
@@ -118,32 +118,40 @@
         own_vm(&settings, incarnation),
         peers_listener,
         known_vms(&settings),
-        peers_ring,
-        rings,
+        peers_receiver,
+        channels,
     )?;
-    let rings = PlatformRings { coordination: to_coordination.clone(), peers: to_peers.clone() };
+    let channels =
+        PlatformChannels { coordination: to_coordination.clone(), peers: to_peers.clone() };
     let zone = settings.zone.clone();
-    platform::build(settings.platform_address, zone, counter.clone(), platform_ring, rings)?;
-    let timeout = settings.lease.to_times().order_timeout;
-    orders::build(orders_ring, to_coordination.clone(), timeout)?;
+    platform::build(
+        settings.platform_address,
+        zone,
+        call_counter.clone(),
+        platform_receiver,
+        channels,
+    )?;
+    let timeout = settings.lease.to_timings().order_timeout;
+    orders::build(orders_receiver, to_coordination.clone(), timeout)?;
     let peers = to_peers.clone();
-    let rings = CoordinationRings { platform: to_platform, peers: to_peers, orders: to_orders };
-    let coordinator = coordination::build(
+    let channels =
+        CoordinationChannels { platform: to_platform, peers: to_peers, orders: to_orders };
+    let coordination_thread = coordination::build(
         coordinator_settings(&settings, incarnation),
-        coordination_ring,
-        rings,
+        coordination_receiver,
+        channels,
     )?;
-    operators::build(OperatorDuty {
+    operators::build(OperatorContext {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         listener: operators_listener,
         platform: settings.platform_address,
-        counter: counter.clone(),
+        call_counter: call_counter.clone(),
         registry,
         coordination: to_coordination.clone(),
         peers,
         readiness: Arc::clone(&readiness),
-        state: Arc::clone(&operators),
+        state: Arc::clone(&operators_state),
     })?;
     let timer = start_ticks(to_coordination.clone())?;
     log_event(EventName::NodeStarted, &[("vm", &settings.vm), ("zone", &settings.zone)]);
@@ -151,42 +159,43 @@
         settings,
         coordination: to_coordination,
         readiness,
-        callers,
-        operators,
-        counter,
-        workers,
-        coordinator,
+        callers_state,
+        operators_state,
+        call_counter,
+        worker_threads,
+        coordination_thread,
         timer,
     })
 }
 
 impl NodeHandle {
-    /// Calls of the platform that this VM made.
+    /// Number of calls to the platform that this VM made.
     #[must_use]
     pub fn platform_calls(&self) -> u64 {
-        self.counter.count()
+        self.call_counter.count()
     }
 
-    /// Whether callers may be sent to this VM.
+    /// Whether a balancer may send callers to this VM.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Stops as planned: readiness off, mandate handed over, requests finished.
+    /// Stops the VM: turns readiness off, hands the mandate over and finishes running requests.
     ///
-    /// Returns whether all of it was done within the bound of the settings.
+    /// Returns whether all of this completed within `stop_limit_ms`.
     pub fn stop(self) -> bool {
-        let limit = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
-        let end = Instant::now() + limit;
+        let timeout = Duration::from_millis(u64::from(self.settings.stop_limit_ms));
+        let deadline = Instant::now() + timeout;
         log_event(EventName::NodeStopping, &[("vm", &self.settings.vm)]);
-        self.readiness.stop();
-        offer(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
+        self.readiness.set_stopping();
+        try_send(&self.coordination, CoordinationMessage::Event(ZoneEvent::StopRequested));
         std::thread::sleep(Duration::from_millis(u64::from(self.settings.stop_linger_ms)));
-        self.callers.stop();
-        let workers_done = self.workers.into_iter().all(|worker| join_until(worker, end));
-        let handed_over = join_until(self.coordinator, end);
-        self.operators.stop();
+        self.callers_state.stop();
+        let workers_done =
+            self.worker_threads.into_iter().all(|worker| join_before(worker, deadline));
+        let handed_over = join_before(self.coordination_thread, deadline);
+        self.operators_state.stop();
         self.timer.stop();
         let pairs: [(&str, &dyn std::fmt::Display); 3] = [
             ("vm", &self.settings.vm),
@@ -198,10 +207,10 @@
     }
 }
 
-fn join_until(thread: JoinHandle<()>, end: Instant) -> bool {
+fn join_before(thread: JoinHandle<()>, deadline: Instant) -> bool {
     const POLL: Duration = Duration::from_millis(5);
     while !thread.is_finished() {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return false;
         }
         std::thread::sleep(POLL);
@@ -209,7 +218,7 @@
     thread.join().is_ok()
 }
 
-/// Finds out before anything starts whether the addresses are free.
+/// Fails if an address is already in use, before any thread starts.
 fn check_addresses(settings: &NodeSettings) -> Result<(), NodeError> {
     let addresses = [
         ("callers_address", settings.callers_address),
@@ -240,33 +249,33 @@
 }
 
 fn known_vms(settings: &NodeSettings) -> Vec<PeerVm> {
-    let known = |peer: &crate::settings::PeerSettings| PeerVm {
+    let to_peer_vm = |peer: &crate::settings::PeerSettings| PeerVm {
         vm: peer.vm.clone(),
         zone: peer.zone.clone(),
         address: peer.address,
         incarnation: Incarnation::ZERO,
     };
-    settings.peers.iter().map(known).collect()
+    settings.peers.iter().map(to_peer_vm).collect()
 }
 
 fn coordinator_settings(settings: &NodeSettings, incarnation: Incarnation) -> CoordinatorSettings {
     CoordinatorSettings {
         zone: settings.zone.clone(),
         vm: VmIncarnation { vm: settings.vm.clone(), incarnation },
-        timings: settings.lease.to_times(),
-        max_standbys: STANDBYS,
-        max_concurrent_moves: MOVES,
+        timings: settings.lease.to_timings(),
+        max_standbys: MAX_STANDBYS,
+        max_concurrent_moves: MAX_CONCURRENT_MOVES,
         seed: incarnation.0,
     }
 }
 
-/// Subscribes the coordination to the timer for as long as its thread lives.
-fn start_ticks(coordination: RingSender<CoordinationMessage>) -> std::io::Result<TimerService> {
+/// Sends ticks to the coordination until its channel is closed.
+fn start_ticks(coordination: ChannelSender<CoordinationMessage>) -> std::io::Result<TimerService> {
     let timer = TimerService::start()?;
     let sink = move |_| {
-        offer(&coordination, CoordinationMessage::Event(ZoneEvent::Tick));
+        try_send(&coordination, CoordinationMessage::Event(ZoneEvent::Tick));
         !coordination.is_closed()
     };
-    timer.subscribe(TICK_PERIOD, Box::new(sink));
+    timer.subscribe(TICK_INTERVAL, Box::new(sink));
     Ok(timer)
 }
--- a/crates/nickellead_run/src/orders.rs
+++ b/crates/nickellead_run/src/orders.rs
@@ -1,4 +1,4 @@
-//! The orders thread: carries orders to targets and their answers back.
+//! Orders thread: sends orders to targets and returns their replies to the coordination.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use nickellead_core::TargetKey;
 use nickellead_lease::{TargetOrder, TargetReply, ZoneEvent};
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
-use crate::ring::{RingReceiver, RingSender, offer};
 
-/// Path of orders at a target.
+/// Path at which targets accept orders.
 const ORDER_PATH: &str = "/nickellead/order";
-/// Largest answer of a target to an order, in bytes.
-const REPLY_LIMIT: usize = 8 * 1024 * 1024;
+/// Maximum size of a target's reply to an order.
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What reaches the orders thread.
+/// Message to the orders thread.
 #[derive(Debug)]
 pub(crate) enum OrderMessage {
-    /// Where targets listen.
+    /// Declarations, which hold the addresses of targets.
     Config(Arc<DeclaredConfig>),
-    /// Send an order.
+    /// Order to send to its target.
     Send(Box<TargetOrder>),
 }
 
-/// Starts the thread.
+/// Starts the orders thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
-    receiver: RingReceiver<OrderMessage>,
-    coordination: RingSender<CoordinationMessage>,
+    receiver: ChannelReceiver<OrderMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     timeout: Duration,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("orders".to_owned()).spawn(move || {
@@ -45,8 +45,8 @@
 }
 
 async fn run(
-    mut receiver: RingReceiver<OrderMessage>,
-    coordination: RingSender<CoordinationMessage>,
+    mut receiver: ChannelReceiver<OrderMessage>,
+    coordination: ChannelSender<CoordinationMessage>,
     timeout: Duration,
 ) {
     let client = Rc::new(awc::Client::builder().timeout(timeout).finish());
@@ -54,10 +54,10 @@
     while let Some(message) = receiver.recv().await {
         match message {
             OrderMessage::Config(config) => {
-                let address = |target: &nickellead_api::DeclaredTarget| {
+                let to_entry = |target: &nickellead_api::DeclaredTarget| {
                     (TargetKey::from(&target.name), target.spec.address)
                 };
-                addresses.extend(config.targets.iter().map(address));
+                addresses.extend(config.targets.iter().map(to_entry));
             }
             OrderMessage::Send(order) => {
                 let Some(address) = addresses.get(&order.target).copied() else {
@@ -69,14 +69,14 @@
                         Some(reply) => ZoneEvent::TargetReplied(reply),
                         None => ZoneEvent::TargetFailed(order.target, order.sequence),
                     };
-                    offer(&coordination, CoordinationMessage::Event(event));
+                    try_send(&coordination, CoordinationMessage::Event(event));
                 });
             }
         }
     }
 }
 
-/// Sends an order; `None` when no readable answer of the meant target came.
+/// Sends an order; `None` without a readable reply of the target that the order names.
 async fn send(
     client: &awc::Client,
     address: SocketAddr,
@@ -87,6 +87,6 @@
     if !response.status().is_success() {
         return None;
     }
-    let reply: TargetReply = response.json().limit(REPLY_LIMIT).await.ok()?;
+    let reply: TargetReply = response.json().limit(MAX_REPLY_BYTES).await.ok()?;
     (reply.target == order.target).then_some(reply)
 }
--- a/crates/nickellead_run/src/platform.rs
+++ b/crates/nickellead_run/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform thread: calls for the coordination, declarations and the list of VMs.
+//! Platform thread: calls for the coordination, declarations and the list of VMs.
 //!
-//! Only a VM that coordinates, or that hears no coordinator, follows the
-//! platform; the others get everything from their coordinator.
+//! Only a VM that coordinates, or that has lost its coordinator, watches the
+//! platform; the others get declarations from their coordinator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,61 +16,61 @@
 use nickellead_platform::{CallCounter, PlatformClient, PlatformError};
 use tokio::sync::watch;
 
+use crate::channel::{ChannelReceiver, ChannelSender, try_send};
 use crate::coordination::CoordinationMessage;
 use crate::peers::PeerMessage;
-use crate::ring::{RingReceiver, RingSender, offer};
-
-/// How long one watch waits for changes.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Between two reads of the list of VMs.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
-/// The same while keys wait for a VM to be off the list.
-const URGENT_LIST_PERIOD: Duration = Duration::from_millis(200);
-/// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-
-/// What reaches the platform thread.
+
+/// Time that one watch request waits for changes.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two reads of the list of VMs.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two reads while keys wait for a VM to leave the list.
+const URGENT_VM_LIST_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay after a failed call.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
+
+/// Message to the platform thread.
 #[derive(Debug)]
 pub(crate) enum PlatformMessage {
-    /// A call of the coordination.
+    /// Read or write requested by the coordination.
     Call(Box<ZoneAction>),
-    /// Whether this VM is to follow the platform itself.
-    Follow(FollowMode),
+    /// Sets how this VM watches the platform.
+    SetWatchMode(WatchMode),
 }
 
-/// How closely a VM follows the platform.
+/// How a VM watches the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum FollowMode {
-    /// Its coordinator tells it everything.
+pub(crate) enum WatchMode {
+    /// The VM does not watch the platform; its coordinator sends declarations.
     #[default]
     Off,
-    /// It watches declarations and reads the list of VMs.
-    Calm,
-    /// The same, and keys wait for a VM to be off the list.
+    /// The VM watches declarations and polls the list of VMs.
+    Normal,
+    /// As `Normal`, with a shorter poll interval: keys wait for a VM to leave the list.
     Urgent,
 }
 
-/// Who is told what the platform says.
+/// Channels to the threads that receive state of the platform.
 #[derive(Clone)]
-pub(crate) struct PlatformRings {
-    pub(crate) coordination: RingSender<CoordinationMessage>,
-    pub(crate) peers: RingSender<PeerMessage>,
+pub(crate) struct PlatformChannels {
+    pub(crate) coordination: ChannelSender<CoordinationMessage>,
+    pub(crate) peers: ChannelSender<PeerMessage>,
 }
 
-/// Starts the thread.
+/// Starts the platform thread.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     address: SocketAddr,
     zone: Name,
     counter: CallCounter,
-    receiver: RingReceiver<PlatformMessage>,
-    rings: PlatformRings,
+    receiver: ChannelReceiver<PlatformMessage>,
+    channels: PlatformChannels,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("platform".to_owned()).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
-            runtime.block_on(run(address, zone, counter, receiver, rings));
+            runtime.block_on(run(address, zone, counter, receiver, channels));
         }
     })
 }
@@ -79,25 +79,30 @@
     address: SocketAddr,
     zone: Name,
     counter: CallCounter,
-    mut receiver: RingReceiver<PlatformMessage>,
-    rings: PlatformRings,
+    mut receiver: ChannelReceiver<PlatformMessage>,
+    channels: PlatformChannels,
 ) {
     let client = Rc::new(PlatformClient::new(address, counter));
     let zone = Rc::new(zone);
-    let (follow, followed) = watch::channel(FollowMode::Off);
-    actix_rt::spawn(follow_config(Rc::clone(&client), followed.clone(), rings.clone()));
-    actix_rt::spawn(follow_vms(Rc::clone(&client), Rc::clone(&zone), followed, rings.clone()));
+    let (mode_sender, watch_mode) = watch::channel(WatchMode::Off);
+    actix_rt::spawn(watch_config(Rc::clone(&client), watch_mode.clone(), channels.clone()));
+    actix_rt::spawn(poll_vm_list(
+        Rc::clone(&client),
+        Rc::clone(&zone),
+        watch_mode,
+        channels.clone(),
+    ));
     while let Some(message) = receiver.recv().await {
         match message {
-            PlatformMessage::Follow(wanted) => {
-                follow.send_replace(wanted);
+            PlatformMessage::SetWatchMode(mode) => {
+                mode_sender.send_replace(mode);
             }
             PlatformMessage::Call(action) => {
                 let (client, zone) = (Rc::clone(&client), Rc::clone(&zone));
-                let coordination = rings.coordination.clone();
+                let coordination = channels.coordination.clone();
                 actix_rt::spawn(async move {
-                    if let Some(event) = call(&client, &zone, *action).await {
-                        offer(&coordination, CoordinationMessage::Event(event));
+                    if let Some(event) = execute(&client, &zone, *action).await {
+                        try_send(&coordination, CoordinationMessage::Event(event));
                     }
                 });
             }
@@ -105,60 +110,60 @@
     }
 }
 
-async fn call(client: &PlatformClient, zone: &Name, action: ZoneAction) -> Option<ZoneEvent> {
+async fn execute(client: &PlatformClient, zone: &Name, action: ZoneAction) -> Option<ZoneEvent> {
     match action {
         ZoneAction::ReadMandate(id) => {
-            let answer = client.read(ObjectKind::Mandate, zone).await;
-            Some(ZoneEvent::MandateRead(id, answer))
+            let result = client.read(ObjectKind::Mandate, zone).await;
+            Some(ZoneEvent::MandateRead(id, result))
         }
         ZoneAction::WriteMandate(id, expected, object) => {
-            let answer = client.write(ObjectKind::Mandate, zone, expected, &object).await;
-            Some(ZoneEvent::MandateWritten(id, answer))
+            let result = client.write(ObjectKind::Mandate, zone, expected, &object).await;
+            Some(ZoneEvent::MandateWritten(id, result))
         }
         ZoneAction::ReadPlacement(id, service, name) => {
-            let answer = client.read(ObjectKind::Placement, &placement_name(&name, zone)?).await;
-            Some(ZoneEvent::PlacementRead(id, service, answer))
+            let result = client.read(ObjectKind::Placement, &placement_name(&name, zone)?).await;
+            Some(ZoneEvent::PlacementRead(id, service, result))
         }
         ZoneAction::WritePlacement(id, service, name, expected, object) => {
             let name = placement_name(&name, zone)?;
-            let answer = client.write(ObjectKind::Placement, &name, expected, &object).await;
-            Some(ZoneEvent::PlacementWritten(id, service, answer))
+            let result = client.write(ObjectKind::Placement, &name, expected, &object).await;
+            Some(ZoneEvent::PlacementWritten(id, service, result))
         }
         _ => None,
     }
 }
 
-/// Name of the placement of a service in a zone.
+/// Name of the placement object of a service in a zone; `None` if that is not a valid name.
 fn placement_name(service: &Name, zone: &Name) -> Option<Name> {
     Name::new(&format!("{service}.{zone}")).ok()
 }
 
-async fn follow_config(
+async fn watch_config(
     client: Rc<PlatformClient>,
-    mut followed: watch::Receiver<FollowMode>,
-    rings: PlatformRings,
+    mut watch_mode: watch::Receiver<WatchMode>,
+    channels: PlatformChannels,
 ) {
     let mut objects = ConfigObjects::default();
     loop {
-        if followed.wait_for(|mode| *mode != FollowMode::Off).await.is_err() {
+        if watch_mode.wait_for(|mode| *mode != WatchMode::Off).await.is_err() {
             return;
         }
         match objects.refresh(&client).await {
-            Ok(true) => tell_config(&objects, &rings),
+            Ok(true) => publish_config(&objects, &channels),
             Ok(false) => {}
-            Err(_) => tokio::time::sleep(FAILURE_PAUSE).await,
+            Err(_) => tokio::time::sleep(FAILURE_BACKOFF).await,
         }
     }
 }
 
-fn tell_config(objects: &ConfigObjects, rings: &PlatformRings) {
+fn publish_config(objects: &ConfigObjects, channels: &PlatformChannels) {
     let config = Arc::new(objects.to_config());
     let event = ZoneEvent::ConfigChanged(Arc::clone(&config));
-    offer(&rings.coordination, CoordinationMessage::Event(event));
-    offer(&rings.peers, PeerMessage::Config(config));
+    try_send(&channels.coordination, CoordinationMessage::Event(event));
+    try_send(&channels.peers, PeerMessage::Config(config));
 }
 
-/// The declared objects, kept up to date by list and watch.
+/// Declared objects, kept up to date by list and watch.
 #[derive(Default)]
 struct ConfigObjects {
     revision: Option<Version>,
@@ -166,14 +171,14 @@
 }
 
 impl ConfigObjects {
-    /// Lists once, then waits for changes; tells whether anything changed.
+    /// Lists on the first call, then waits for changes; returns whether anything changed.
     async fn refresh(&mut self, client: &PlatformClient) -> Result<bool, PlatformError> {
         let Some(revision) = self.revision else {
             return self.list(client).await;
         };
-        match client.watch(revision, WATCH_WAIT).await {
+        match client.watch(revision, WATCH_TIMEOUT).await {
             Ok(page) if page.revision < revision => {
-                // The platform went back: a stale replica. What is known stays in force.
+                // A stale replica responded: keep the known objects.
                 Ok(false)
             }
             Ok(page) => {
@@ -204,7 +209,7 @@
         Ok(true)
     }
 
-    /// The declarations that can be read; one that can't is left out.
+    /// Converts the objects to declarations and skips unreadable ones.
     fn to_config(&self) -> DeclaredConfig {
         let revision = self.revision.unwrap_or_default();
         let mut config = DeclaredConfig { revision, ..DeclaredConfig::default() };
@@ -228,28 +233,28 @@
     }
 }
 
-async fn follow_vms(
+async fn poll_vm_list(
     client: Rc<PlatformClient>,
     zone: Rc<Name>,
-    mut followed: watch::Receiver<FollowMode>,
-    rings: PlatformRings,
+    mut watch_mode: watch::Receiver<WatchMode>,
+    channels: PlatformChannels,
 ) {
     loop {
-        if followed.wait_for(|mode| *mode != FollowMode::Off).await.is_err() {
+        if watch_mode.wait_for(|mode| *mode != WatchMode::Off).await.is_err() {
             return;
         }
         if let Ok(vms) = client.vms().await {
             let local = vms.iter().filter(|vm| vm.zone == *zone);
             let names = local.map(|vm| vm.vm.clone()).collect();
             let event = ZoneEvent::VmsListed(names);
-            offer(&rings.coordination, CoordinationMessage::Event(event));
-            offer(&rings.peers, PeerMessage::Listed(vms));
+            try_send(&channels.coordination, CoordinationMessage::Event(event));
+            try_send(&channels.peers, PeerMessage::VmList(vms));
         }
-        let period = match *followed.borrow_and_update() {
-            FollowMode::Urgent => URGENT_LIST_PERIOD,
-            FollowMode::Off | FollowMode::Calm => LIST_PERIOD,
+        let interval = match *watch_mode.borrow_and_update() {
+            WatchMode::Urgent => URGENT_VM_LIST_INTERVAL,
+            WatchMode::Off | WatchMode::Normal => VM_LIST_INTERVAL,
         };
-        // A change of the mode cuts the pause short.
-        let _ = tokio::time::timeout(period, followed.changed()).await;
+        // A change of the mode ends the delay early.
+        let _ = tokio::time::timeout(interval, watch_mode.changed()).await;
     }
 }
--- a/crates/nickellead_run/src/requests.rs
+++ b/crates/nickellead_run/src/requests.rs
@@ -1,4 +1,4 @@
-//! The request workers: one thread each, with its own listener and table.
+//! Request workers: one thread each, with its own listener and routing table.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -9,21 +9,21 @@
     ProxyLimits, ProxyMetrics, ProxyWorker, ServeState, WorkerUpdate, serve_http,
 };
 
+use crate::channel::ChannelReceiver;
 use crate::readiness::Readiness;
-use crate::ring::RingReceiver;
 
-/// What reaches a worker over its ring.
+/// Message to a request worker.
 pub(crate) enum WorkerMessage {
-    /// Something to take over.
+    /// Change of declarations or routes.
     Update(WorkerUpdate),
-    /// All that it needs to serve went before this.
-    Informed,
+    /// All state that the worker needs to serve requests was sent before this message.
+    Initialized,
 }
 
-/// Starts one worker's thread.
+/// Starts the thread of one worker.
 ///
 /// # Errors
-/// The system's error when it refuses a thread.
+/// Returns the error of the operating system if the thread can't be started.
 pub(crate) fn build(
     updates: WorkerUpdates,
     listener: TcpListener,
@@ -32,8 +32,8 @@
     metrics: ProxyMetrics,
     state: Arc<ServeState>,
 ) -> std::io::Result<JoinHandle<()>> {
-    let place = updates.place;
-    std::thread::Builder::new().name(format!("requests-{place}")).spawn(move || {
+    let index = updates.index;
+    std::thread::Builder::new().name(format!("requests-{index}")).spawn(move || {
         if let Ok(runtime) = actix_rt::Runtime::new() {
             let worker = ProxyWorker::new(limits, seed, metrics);
             runtime.block_on(run(worker, listener, limits, updates, state));
@@ -41,18 +41,18 @@
     })
 }
 
-/// What a worker is told, and where it notes what it has taken over.
+/// Updates to a worker, and where it records those that it has applied.
 pub(crate) struct WorkerUpdates {
-    pub(crate) receiver: RingReceiver<WorkerMessage>,
+    pub(crate) receiver: ChannelReceiver<WorkerMessage>,
     pub(crate) readiness: Arc<Readiness>,
-    /// The worker's place among those of the VM.
-    pub(crate) place: usize,
+    /// The worker's index among those of the VM.
+    pub(crate) index: usize,
 }
 
 impl WorkerUpdates {
-    /// Takes over all that comes.
-    async fn take_all(mut self, worker: Rc<ProxyWorker>) {
-        let progress = self.readiness.worker(self.place);
+    /// Applies updates until the channel is closed.
+    async fn apply_all(mut self, worker: Rc<ProxyWorker>) {
+        let progress = self.readiness.worker(self.index);
         while let Some(message) = self.receiver.recv().await {
             match message {
                 WorkerMessage::Update(update) => {
@@ -61,7 +61,7 @@
                         progress.set_revision(config.revision);
                     }
                 }
-                WorkerMessage::Informed => progress.inform(),
+                WorkerMessage::Initialized => progress.set_initialized(),
             }
         }
     }
@@ -74,7 +74,7 @@
     updates: WorkerUpdates,
     state: Arc<ServeState>,
 ) {
-    actix_rt::spawn(updates.take_all(Rc::clone(&worker)));
+    actix_rt::spawn(updates.apply_all(Rc::clone(&worker)));
     let handler = move |request| {
         let worker = Rc::clone(&worker);
         async move { worker.handle(request).await }
@@ -83,6 +83,6 @@
     while state.running_requests() > 0 {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
-    // The last answers' bytes leave before the runtime ends.
+    // Lets the last responses leave the socket before the runtime ends.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
 }
--- a/crates/nickellead_run/src/settings.rs
+++ b/crates/nickellead_run/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one VM: a JSON file, checked whole before anything starts.
+//! Settings of one VM: a JSON file that is validated before any thread starts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use nickellead_proxy::ProxyLimits;
 use serde::{Deserialize, Serialize};
 
-/// Most request workers of one VM.
-const WORKERS_MAX: u16 = 64;
+/// Maximum number of request workers of one VM.
+const MAX_WORKERS: u16 = 64;
 
 /// Settings of one entry VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,30 +20,30 @@
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators_address: SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub peers_address: SocketAddr,
-    /// Where the platform listens.
+    /// Address of the platform's object API.
     pub platform_address: SocketAddr,
-    /// VMs known from the start, beside those of the platform's list.
+    /// VMs known at start, in addition to the platform's list.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// Threads that answer callers.
+    /// Number of threads that serve callers.
     #[serde(default = "default_workers")]
     pub workers: u16,
-    /// Times of leases.
+    /// Timings of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// Bounds of the request path.
+    /// Limits of the request path.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Longest time a planned stop may take, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     #[serde(default = "default_stop")]
     pub stop_limit_ms: u32,
-    /// How long the VM serves on after its readiness went off, in milliseconds.
+    /// How long a stopping VM continues to serve after it turned readiness off, in milliseconds.
     #[serde(default = "default_linger")]
     pub stop_linger_ms: u32,
 }
@@ -60,7 +60,7 @@
     500
 }
 
-/// Another VM.
+/// Another VM that is known at start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
@@ -68,80 +68,80 @@
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for other VMs.
+    /// Its address for other VMs.
     pub address: SocketAddr,
 }
 
-/// Times of leases, in milliseconds; see [`LeaseTimings`].
+/// Timings of leases, in milliseconds; see [`LeaseTimings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// Between two heartbeats to a target.
+    /// Interval between two heartbeats to a target.
     pub heartbeat_ms: u32,
     /// How long a target may serve without a heartbeat.
     pub lease_ms: u32,
-    /// Added to every bound on a lease.
+    /// Safety margin added to every bound on a lease.
     pub margin_ms: u32,
-    /// How long a target's answer is waited for.
+    /// Timeout of an order to a target.
     pub order_timeout_ms: u32,
-    /// Between two renewals of the mandate.
+    /// Interval between two renewals of the mandate (leader lease).
     pub renewal_ms: u32,
-    /// How long the mandate must stand still before a standby takes it.
+    /// How long the mandate must remain unrenewed before a standby acquires it.
     pub standstill_ms: u32,
-    /// How long the platform must be silent before a coordinator is detached.
+    /// How long the platform must not respond before a coordinator becomes detached.
     pub detach_after_ms: u32,
-    /// Bound on the difference of clock rates, in parts per million.
+    /// Maximum difference of clock rates, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl Default for LeaseSettings {
     fn default() -> Self {
-        let times = LeaseTimings::default();
-        let millis = |length: Duration| length.as_millis() as u32;
+        let timings = LeaseTimings::default();
+        let millis = |duration: Duration| duration.as_millis() as u32;
         Self {
-            heartbeat_ms: millis(times.heartbeat_interval),
-            lease_ms: millis(times.lease_duration),
-            margin_ms: millis(times.lease_margin),
-            order_timeout_ms: millis(times.order_timeout),
-            renewal_ms: millis(times.renewal_interval),
-            standstill_ms: millis(times.mandate_timeout),
-            detach_after_ms: millis(times.detach_timeout),
-            drift_ppm: times.drift_bound.parts_per_million,
+            heartbeat_ms: millis(timings.heartbeat_interval),
+            lease_ms: millis(timings.lease_duration),
+            margin_ms: millis(timings.lease_margin),
+            order_timeout_ms: millis(timings.order_timeout),
+            renewal_ms: millis(timings.renewal_interval),
+            standstill_ms: millis(timings.mandate_timeout),
+            detach_after_ms: millis(timings.detach_timeout),
+            drift_ppm: timings.drift_bound.parts_per_million,
         }
     }
 }
 
 impl LeaseSettings {
-    /// The times as the state machines take them.
+    /// Converts the settings to the timings of the state machines.
     #[must_use]
-    pub fn to_times(self) -> LeaseTimings {
-        let length = |millis: u32| Duration::from_millis(u64::from(millis));
+    pub fn to_timings(self) -> LeaseTimings {
+        let duration = |millis: u32| Duration::from_millis(u64::from(millis));
         LeaseTimings {
-            heartbeat_interval: length(self.heartbeat_ms),
-            lease_duration: length(self.lease_ms),
-            lease_margin: length(self.margin_ms),
-            order_timeout: length(self.order_timeout_ms),
-            renewal_interval: length(self.renewal_ms),
-            mandate_timeout: length(self.standstill_ms),
-            detach_timeout: length(self.detach_after_ms),
+            heartbeat_interval: duration(self.heartbeat_ms),
+            lease_duration: duration(self.lease_ms),
+            lease_margin: duration(self.margin_ms),
+            order_timeout: duration(self.order_timeout_ms),
+            renewal_interval: duration(self.renewal_ms),
+            mandate_timeout: duration(self.standstill_ms),
+            detach_timeout: duration(self.detach_after_ms),
             drift_bound: nickellead_core::DriftBound { parts_per_million: self.drift_ppm },
         }
     }
 }
 
-/// Bounds of the request path; see [`ProxyLimits`].
+/// Limits of the request path; see [`ProxyLimits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// VMs that share the targets' connections.
+    /// Number of VMs among which the capacity of each target is divided.
     pub vms: u32,
-    /// Requests that may wait for a turn at one target, per worker.
+    /// Maximum number of requests queued for one target, per worker.
     pub queue: u32,
-    /// Requests that may wait for moves, per worker.
+    /// Maximum number of requests that wait for shard moves, per worker.
     pub movers: u32,
-    /// Longest wait for a move, in milliseconds.
+    /// Maximum wait for a shard move, in milliseconds.
     pub move_wait_ms: u32,
-    /// Connections from callers, per worker.
+    /// Maximum number of connections from callers, per worker.
     pub connections: u32,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl LimitSettings {
-    /// The bounds as a worker takes them.
+    /// Converts the settings to the limits of one of `workers` workers.
     #[must_use]
     pub fn to_limits(self, workers: u16) -> ProxyLimits {
         ProxyLimits {
@@ -173,23 +173,23 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Returns the first field that is wrong, and why.
+    /// Returns the first invalid field and the reason.
     pub fn read(text: &[u8]) -> Result<Self, FieldError> {
         let settings: Self = read_json(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks what the types can't say.
+    /// Validates constraints that the types do not express.
     ///
     /// # Errors
-    /// Returns the first field that is wrong, and why.
+    /// Returns the first invalid field and the reason.
     pub fn check(&self) -> Result<(), FieldError> {
-        if self.workers == 0 || self.workers > WORKERS_MAX {
-            let reason = format!("must be from 1 to {WORKERS_MAX}");
+        if self.workers == 0 || self.workers > MAX_WORKERS {
+            let reason = format!("must be from 1 to {MAX_WORKERS}");
             return Err(FieldError::new("workers", reason));
         }
         self.check_addresses()?;
@@ -197,8 +197,8 @@
         if self.stop_limit_ms <= self.stop_linger_ms {
             return Err(FieldError::new("stop_limit_ms", "must be more than stop_linger_ms"));
         }
-        let times = self.lease.to_times();
-        times
+        let timings = self.lease.to_timings();
+        timings
             .validate()
             .map_err(|(field, reason)| FieldError::new(format!("lease.{field}"), reason))
     }
@@ -209,17 +209,17 @@
             ("operators_address", self.operators_address),
             ("peers_address", self.peers_address),
         ];
-        for (place, (field, address)) in own.iter().enumerate() {
+        for (index, (field, address)) in own.iter().enumerate() {
             if address.port() == 0 {
                 return Err(FieldError::new(*field, "must have a port"));
             }
-            if own[..place].iter().any(|(_, other)| other == address) {
-                return Err(FieldError::new(*field, "is used for something else already"));
+            if own[..index].iter().any(|(_, other)| other == address) {
+                return Err(FieldError::new(*field, "is already used by another setting"));
             }
         }
-        for (place, peer) in self.peers.iter().enumerate() {
+        for (index, peer) in self.peers.iter().enumerate() {
             if peer.vm == self.vm && peer.address != self.peers_address {
-                let field = format!("peers[{place}].address");
+                let field = format!("peers[{index}].address");
                 return Err(FieldError::new(field, "differs from this VM's peers_address"));
             }
         }
--- a/crates/nickellead_run/tests/settings.rs
+++ b/crates/nickellead_run/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole, and every error names its field.
+//! Guards against invalid settings that are accepted, and against errors that name another field.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_run::NodeSettings;
@@ -24,7 +24,7 @@
 fn defaults_fit_each_other() {
     let read = NodeSettings::read(settings().to_string().as_bytes()).unwrap();
     assert_eq!(read.workers, 1);
-    assert!(read.lease.to_times().validate().is_ok());
+    assert!(read.lease.to_timings().validate().is_ok());
 }
 
 #[test]
@@ -50,12 +50,12 @@
     ];
     for (path, value, field) in cases {
         let mut wrong = settings();
-        let shown = format!("{path} = {value}");
+        let case = format!("{path} = {value}");
         match wrong.pointer_mut(path) {
-            Some(place) => *place = value,
+            Some(old) => *old = value,
             None => drop(wrong.as_object_mut().unwrap().insert(path[1..].to_owned(), value)),
         }
-        assert_eq!(field_of(&wrong), field, "{shown}");
+        assert_eq!(field_of(&wrong), field, "{case}");
     }
 }
 
--- a/crates/nickellead_trial/src/trial.rs
+++ b/crates/nickellead_trial/src/trial.rs
@@ -6,7 +6,7 @@
 use nickellead_api::ObjectKind;
 use nickellead_lease::PlacementObject;
 use nickellead_platform::PlatformError;
-use nickellead_standin::{CallerSettings, LoadReport, LoadSettings, judge, run_load};
+use nickellead_standin::{CallerSettings, LoadReport, LoadSettings, evaluate_run, run_load};
 use thiserror::Error;
 
 use crate::deployment::TrialDeployment;
@@ -130,7 +130,7 @@
     let lost = place_of(deployment, LOST);
     progress(&format!("losing target {}-{}", LOST.0, LOST.1));
     if let Some(target) = deployment.targets[lost].running.take() {
-        target.lose();
+        target.crash();
     }
     std::thread::sleep(third);
     progress(&format!("draining target {}-{}", DRAINED.0, DRAINED.1));
@@ -146,15 +146,15 @@
         service: service.name.to_owned(),
         operation: service.operation.name.to_owned(),
         method: service.operation.method.to_owned(),
-        once: service.operation.once,
+        at_most_once: service.operation.once,
         callers: CALLERS,
         keys: KEYS,
     };
     LoadSettings {
-        entries: deployment.callers.clone(),
+        entry_addresses: deployment.callers.clone(),
         groups: SERVICES.iter().map(group).collect(),
-        length: Duration::from_secs(settings.seconds),
-        pause: PAUSE,
+        duration: Duration::from_secs(settings.seconds),
+        think_time: PAUSE,
         seed: settings.seed,
     }
 }
@@ -200,7 +200,7 @@
     let p99 = (unavailable.len() * 99).div_ceil(100).saturating_sub(1);
     let moves = after.0.saturating_sub(before.0);
     TrialReport {
-        verdict: judge(&deployment.shared.effects(), load),
+        verdict: evaluate_run(&deployment.shared.effects(), load),
         answered: load.answered,
         refused: load.refused,
         unknown: load.unknown,
@@ -219,7 +219,7 @@
 fn imbalance(deployment: &TrialDeployment) -> f64 {
     let mut groups: BTreeMap<(&str, &str), Vec<usize>> = BTreeMap::new();
     for target in &deployment.targets {
-        let owned = target.running.as_ref().map_or(0, |target| target.owned().len());
+        let owned = target.running.as_ref().map_or(0, |target| target.owned_shards().len());
         if owned > 0 {
             let group = (target.spec.service.as_str(), target.spec.zone.as_str());
             groups.entry(group).or_default().push(owned);
