--- a/crates/nickellead_gateway/tests/common/link.rs
+++ b/crates/nickellead_gateway/tests/common/link.rs
@@ -1,7 +1,7 @@
 //! A loopback proxy in front of a VM that limits the rate of what the VM sends.
 //!
-//! All connections to the VM share the rate, as they share its network link. Traffic to the VM is not
-//! limited.
+//! All connections to the VM share the rate, as they share its network link. Traffic to the VM is
+//! not limited.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -26,7 +26,7 @@
 
 /// State that a link shares with its proxy thread.
 #[derive(Default)]
-struct LinkCounts {
+struct LinkState {
     bytes: AtomicU64,
     connections: AtomicU64,
     /// Whether connections are closed and new ones refused.
@@ -37,7 +37,7 @@
 pub struct PacedLink {
     /// Listening address.
     pub address: SocketAddr,
-    counts: Arc<LinkCounts>,
+    state: Arc<LinkState>,
 }
 
 impl PacedLink {
@@ -46,28 +46,29 @@
         let listener = TcpListener::bind(free_address()).unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        let counts = Arc::<LinkCounts>::default();
-        let link = Self { address, counts: Arc::clone(&counts) };
+        let state = Arc::<LinkState>::default();
+        let link = Self { address, state: Arc::clone(&state) };
         std::thread::spawn(move || {
             let runtime = actix_rt::Runtime::new().unwrap();
-            runtime.block_on(accept_all(listener, vm, rate, counts));
+            runtime.block_on(accept_all(listener, vm, rate, state));
         });
         link
     }
 
     /// Bytes that the VM has sent over the link.
     pub fn bytes(&self) -> u64 {
-        self.counts.bytes.load(Ordering::Relaxed)
+        self.state.bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts the link: closes connections when they transmit next and refuses new ones. `false` restores it.
+    /// Cuts the link: closes connections when they transmit next and refuses new ones. `false`
+    /// restores it.
     pub fn set_cut(&self, cut: bool) {
-        self.counts.cut.store(cut, Ordering::Relaxed);
+        self.state.cut.store(cut, Ordering::Relaxed);
     }
 
     /// Connections accepted so far.
     pub fn connections(&self) -> u64 {
-        self.counts.connections.load(Ordering::Relaxed)
+        self.state.connections.load(Ordering::Relaxed)
     }
 }
 
@@ -88,15 +89,15 @@
     }
 }
 
-async fn accept_all(listener: TcpListener, vm: SocketAddr, rate: f64, counts: Arc<LinkCounts>) {
+async fn accept_all(listener: TcpListener, vm: SocketAddr, rate: f64, state: Arc<LinkState>) {
     let listener = tokio::net::TcpListener::from_std(listener).unwrap();
     let pacer = Rc::new(LinkPacer { rate, free_from: Cell::new(Instant::now()) });
     while let Ok((peer_stream, _)) = listener.accept().await {
-        if counts.cut.load(Ordering::Relaxed) {
+        if state.cut.load(Ordering::Relaxed) {
             continue;
         }
-        counts.connections.fetch_add(1, Ordering::Relaxed);
-        actix_rt::spawn(proxy_connection(peer_stream, vm, Rc::clone(&pacer), Arc::clone(&counts)));
+        state.connections.fetch_add(1, Ordering::Relaxed);
+        actix_rt::spawn(proxy_connection(peer_stream, vm, Rc::clone(&pacer), Arc::clone(&state)));
     }
 }
 
@@ -105,7 +106,7 @@
     peer_stream: TcpStream,
     vm: SocketAddr,
     pacer: Rc<LinkPacer>,
-    counts: Arc<LinkCounts>,
+    state: Arc<LinkState>,
 ) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(VM_RECEIVE_BUFFER_BYTES).unwrap();
@@ -118,7 +119,7 @@
     let (vm_read, mut vm_write) = vm_stream.into_split();
     tokio::select! {
         _ = tokio::io::copy(&mut peer_read, &mut vm_write) => {}
-        () = forward_from_vm(vm_read, peer_write, &pacer, &counts) => {}
+        () = forward_from_vm(vm_read, peer_write, &pacer, &state) => {}
     }
 }
 
@@ -127,13 +128,13 @@
     mut vm_stream: OwnedReadHalf,
     mut peer_stream: OwnedWriteHalf,
     pacer: &LinkPacer,
-    counts: &LinkCounts,
+    state: &LinkState,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(read @ 1..) = vm_stream.read(&mut chunk).await {
         pacer.transmit(read).await;
-        counts.bytes.fetch_add(read as u64, Ordering::Relaxed);
-        let cut = counts.cut.load(Ordering::Relaxed);
+        state.bytes.fetch_add(read as u64, Ordering::Relaxed);
+        let cut = state.cut.load(Ordering::Relaxed);
         if cut || peer_stream.write_all(&chunk[..read]).await.is_err() {
             return;
         }
--- a/crates/nickellead_gateway/tests/common/many_routes.rs
+++ b/crates/nickellead_gateway/tests/common/many_routes.rs
@@ -24,7 +24,8 @@
     (0..count).map(|_| random.lowercase()).collect()
 }
 
-/// Declarations with `count` random routes. The seed is fixed: a smaller count gives a prefix of the routes.
+/// Declarations with `count` random routes. The seed is fixed: a smaller count gives a prefix of
+/// the routes.
 pub fn random_declarations(version: u64, count: usize) -> Declarations {
     let mut random = fastrand::Rng::with_seed(7);
     let routes = (0..count).map(|number| {
--- a/crates/nickellead_gateway/tests/common/mod.rs
+++ b/crates/nickellead_gateway/tests/common/mod.rs
@@ -37,7 +37,8 @@
     limit: "x-limit",
 };
 
-/// Ports outside the ephemeral range, so that no outgoing connection takes a free one before it is bound.
+/// Ports outside the ephemeral range, so that no outgoing connection takes a free one before it is
+/// bound.
 const NON_EPHEMERAL_PORTS: std::ops::Range<u16> = 10_000..32_768;
 
 /// A free loopback address that no earlier call of this process returned.
@@ -66,8 +67,8 @@
     }
 }
 
-/// Declarations with a safe route `/read/` and an unsafe route `/write/` to the service `plain`, and a
-/// safe route `/key/` to the sharded service `keyed`.
+/// Declarations with a safe route `/read/` and an unsafe route `/write/` to the service `plain`,
+/// and a safe route `/key/` to the sharded service `keyed`.
 pub fn declarations(version: u64) -> Declarations {
     let rule = |is_sharded| ServiceRule { connections: 100, sharded: is_sharded, cold: None };
     let services =
@@ -142,7 +143,8 @@
         Self { callers, readiness, metrics, handle: Some(handle) }
     }
 
-    /// Starts a gateway whose peers connect over a link that is paced at `rate` bytes a second and can be cut.
+    /// Starts a gateway whose peers connect over a link that is paced at `rate` bytes a second and
+    /// can be cut.
     pub fn start_linked(name: &str, store: &MemoryStore, rate: f64) -> (Self, PacedLink) {
         let mut link = None;
         let gateway = Self::start_as(name, store, |settings| {
@@ -185,7 +187,8 @@
         std::thread::spawn(move || client.send(method, path, ""))
     }
 
-    /// Sends a request with an id and a deadline of one second; returns head and body of the response.
+    /// Sends a request with an id and a deadline of one second; returns head and body of the
+    /// response.
     pub fn send(&self, method: &str, path: &str, extra_headers: &str) -> String {
         exchange(
             self.callers,
@@ -205,7 +208,8 @@
     read_response(&mut stream)
 }
 
-/// Reads one response; ends at its `content-length`, at the end of the connection or at a read error.
+/// Reads one response; ends at its `content-length`, at the end of the connection or at a read
+/// error.
 pub fn read_response(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut buffer = [0; 4_096];
@@ -235,7 +239,8 @@
     }
 }
 
-/// A ready gateway that routes the service `plain` to these targets; requests sent so far are cleared.
+/// A ready gateway that routes the service `plain` to these targets; requests sent so far are
+/// cleared.
 pub fn gateway_with_targets(name: &str, targets: &[&TestTarget]) -> (TestGateway, MemoryStore) {
     let store = MemoryStore::default();
     for target in targets {
--- a/crates/nickellead_gateway/tests/common/ownership.rs
+++ b/crates/nickellead_gateway/tests/common/ownership.rs
@@ -1,4 +1,5 @@
-//! Checks orders to targets: a key never has two owners at a time, and fences increase with each owner.
+//! Checks orders to targets: a key never has two owners at a time, and fences increase with each
+//! owner.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
--- a/crates/nickellead_gateway/tests/common/seeds.rs
+++ b/crates/nickellead_gateway/tests/common/seeds.rs
@@ -5,8 +5,8 @@
 
 const CONCURRENT_SEEDS: usize = 3;
 
-/// Runs the seeds that two environment variables select (by default three, from 1 on); panics if one of
-/// them reports violations. `first` and `seeds` name the variables.
+/// Runs the seeds that two environment variables select (by default three, from 1 on); panics if
+/// one of them reports violations. `first` and `seeds` name the variables.
 pub fn run_seeds(first: &str, seeds: &str, run_seed: impl Fn(u64) -> Vec<String> + Sync) {
     let first = number_from(first, 1);
     let seeds = number_from(seeds, 3);
--- a/crates/nickellead_gateway/tests/common/store.rs
+++ b/crates/nickellead_gateway/tests/common/store.rs
@@ -41,12 +41,14 @@
     }
 }
 
-/// Whether an object has the revision that a write expects; like the store, compares numbers and ignores eras.
+/// Whether an object has the revision that a write expects; like the store, compares numbers and
+/// ignores eras.
 fn has_revision<T>(stored: Option<&Stored<T>>, expected: Option<Revision>) -> bool {
     stored.map(|stored| stored.revision.number) == expected.map(|expected| expected.number)
 }
 
-/// The result of a write that was applied: a conflict if it matched only a revision number of another era.
+/// The result of a write that was applied: a conflict if it matched only a revision number of
+/// another era.
 fn check_era(revision: Revision, expected: Option<Revision>) -> Result<Revision, StoreError> {
     match expected.is_none_or(|expected| expected.era == revision.era) {
         true => Ok(revision),
@@ -115,7 +117,8 @@
         StoreBackup(self.state().content.clone())
     }
 
-    /// Replaces the content by a backup and starts a new era; revision numbers decrease to those of the backup.
+    /// Replaces the content by a backup and starts a new era; revision numbers decrease to those of
+    /// the backup.
     pub fn restore(&self, backup: &StoreBackup) {
         let mut state = self.state();
         let era = StoreEra(state.content.era.0 + 1);
@@ -193,7 +196,8 @@
         self.state().compacted = compacted;
     }
 
-    /// Delays the responses to a VM's reads and watches of an object, as over a full link, until set to `false`.
+    /// Delays the responses to a VM's reads and watches of an object, as over a full link, until
+    /// set to `false`.
     pub fn set_withheld(&self, vm: &str, object: StoreObject, withheld: bool) {
         let mut state = self.state();
         let key = (vm.to_owned(), object);
