--- a/crates/nickellead_gateway/tests/requests.rs
+++ b/crates/nickellead_gateway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What callers and targets see of a request.
+//! Requests from callers through a gateway to targets.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -13,15 +13,15 @@
 use nickellead_gateway::{RepeatClass, WeightedService};
 
 #[test]
-fn a_request_reaches_a_target_unchanged_and_its_answer_comes_back() {
+fn a_request_reaches_a_target_unchanged_and_its_response_is_returned() {
     let target = TestTarget::start("t1", Behavior::Serve);
     let (gateway, _store) = gateway_with_targets("vm-plain", &[&target]);
-    let body = "content-length: 4\r\nx-other: o\r\nx-target: forged\r\n";
+    let more_headers = "content-length: 4\r\nx-other: o\r\nx-target: forged\r\n";
     let response = exchange(
         gateway.callers,
         &format!(
             "PUT /write/a/b?c=d%20e HTTP/1.1\r\nhost: board.example\r\nx-request-id: r7\r\n\
-             x-deadline-ms: 900\r\n{body}\r\nbody"
+             x-deadline-ms: 900\r\n{more_headers}\r\nbody"
         ),
     );
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
@@ -30,14 +30,18 @@
         "{response}"
     );
     assert!(response.ends_with("\r\n\r\nt1"), "{response}");
-    let seen = target.requests().pop().unwrap();
-    assert!(seen.starts_with("PUT /write/a/b?c=d%20e HTTP/1.1\r\n"), "{seen}");
-    assert!(seen.ends_with("\r\n\r\nbody"), "{seen}");
-    assert_eq!(header(&seen, "x-request-id").as_deref(), Some("r7"));
-    assert_eq!(header(&seen, "x-other").as_deref(), Some("o"));
-    assert_eq!(header(&seen, "x-target").as_deref(), Some("t1"), "only the chosen one may run it");
-    let left: u64 = header(&seen, "x-deadline-ms").unwrap().parse().unwrap();
-    assert!(left <= 900, "no more time than the caller gave: {left}");
+    let received = target.requests().pop().unwrap();
+    assert!(received.starts_with("PUT /write/a/b?c=d%20e HTTP/1.1\r\n"), "{received}");
+    assert!(received.ends_with("\r\n\r\nbody"), "{received}");
+    assert_eq!(header(&received, "x-request-id").as_deref(), Some("r7"));
+    assert_eq!(header(&received, "x-other").as_deref(), Some("o"));
+    assert_eq!(
+        header(&received, "x-target").as_deref(),
+        Some("t1"),
+        "the request names the selected target"
+    );
+    let remaining_ms: u64 = header(&received, "x-deadline-ms").unwrap().parse().unwrap();
+    assert!(remaining_ms <= 900, "deadline longer than the caller's: {remaining_ms}");
 }
 
 #[test]
@@ -46,16 +50,16 @@
     let (gateway, _store) = gateway_with_targets("vm-bad", &[&target]);
     let status = |response: String| response.split(' ').nth(1).unwrap_or_default().to_owned();
     assert_eq!(status(gateway.send("GET", "/nowhere/", "")), "404");
-    assert_eq!(status(gateway.send("GET", "/readable", "")), "404", "a prefix ends with its slash");
+    assert_eq!(status(gateway.send("GET", "/readable", "")), "404", "a prefix includes its slash");
     let long = format!("x-long: {}\r\n", "a".repeat(20_000));
     assert_eq!(status(gateway.send("GET", "/read/", &long)), "431");
     let huge = "content-length: 100000000\r\n";
     assert_eq!(status(gateway.send("POST", "/write/", huge)), "413");
-    let both = "content-length: 3\r\ntransfer-encoding: chunked\r\n";
-    let smuggled = gateway.send("POST", "/write/", both);
+    let conflicting = "content-length: 3\r\ntransfer-encoding: chunked\r\n";
+    let smuggled = gateway.send("POST", "/write/", conflicting);
     assert!(smuggled.is_empty() || status(smuggled) == "400");
-    let nameless = "GET /read/ HTTP/1.1\r\nhost: board.example\r\n\r\n";
-    assert_eq!(status(exchange(gateway.callers, nameless)), "400");
+    let without_request_id = "GET /read/ HTTP/1.1\r\nhost: board.example\r\n\r\n";
+    assert_eq!(status(exchange(gateway.callers, without_request_id)), "400");
     assert_eq!(status(exchange(gateway.callers, "nonsense\r\n\r\n")), "400");
     assert_eq!(target.requests().len(), 0, "{:?}", target.requests());
 }
@@ -90,13 +94,13 @@
         gateway_with_targets("vm-shed", &[&targets[0], &targets[1], &targets[2]]);
     let response = gateway.send("POST", "/write/", "");
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
-    assert!(response.contains("retry-after: 0."), "when to come back: {response}");
+    assert!(response.contains("retry-after: 0."), "no retry-after: {response}");
     let arrivals: usize = targets.iter().map(|target| target.requests().len()).sum();
-    assert_eq!(arrivals, 2, "the route allows two targets");
+    assert_eq!(arrivals, 2, "the route allows two attempts");
 }
 
 #[test]
-fn answers_to_other_requests_are_never_passed_on() {
+fn responses_to_other_requests_are_never_forwarded() {
     let target = TestTarget::start("t1", Behavior::RespondWithOtherId);
     let (gateway, _store) = gateway_with_targets("vm-foreign", &[&target]);
     let response = gateway.send("POST", "/write/", "");
@@ -105,7 +109,7 @@
 }
 
 #[test]
-fn a_failure_of_a_target_is_passed_on_as_it_is() {
+fn an_error_response_of_a_target_is_forwarded_unchanged() {
     let target = TestTarget::start("t1", Behavior::Respond("500 Internal Server Error"));
     let (gateway, _store) = gateway_with_targets("vm-failure", &[&target]);
     let response = gateway.send("POST", "/write/", "");
@@ -113,7 +117,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_the_target() {
+fn a_caller_that_disconnects_cancels_the_request_at_the_target() {
     let target = TestTarget::start("t1", Behavior::Serve);
     let (gateway, _store) = gateway_with_targets("vm-leaves", &[&target]);
     target.set_behavior(Behavior::NeverRespond);
@@ -141,32 +145,32 @@
 
 #[test]
 fn a_split_keeps_its_weights() {
-    let (one, other) =
+    let (first, second) =
         (TestTarget::start("t1", Behavior::Serve), TestTarget::start("t2", Behavior::Serve));
-    let (gateway, store) = gateway_with_targets("vm-split", &[&one]);
+    let (gateway, store) = gateway_with_targets("vm-split", &[&first]);
     let mut split = declarations(3);
-    let part = |service: &str, weight| WeightedService { service: service.to_owned(), weight };
+    let weighted = |service: &str, weight| WeightedService { service: service.to_owned(), weight };
     split.services.insert("second".to_owned(), split.services["plain"].clone());
-    split.routes[0].split = vec![part("plain", 90.0), part("second", 10.0)];
-    store.list(entry("t2", "second", other.address));
+    split.routes[0].split = vec![weighted("plain", 90.0), weighted("second", 10.0)];
+    store.list(entry("t2", "second", second.address));
     store.declare(split);
-    wait_until("the split is in force", || gateway.send("GET", "/read/", "").ends_with("t2"));
-    one.clear_requests();
-    other.clear_requests();
+    wait_until("the split is active", || gateway.send("GET", "/read/", "").ends_with("t2"));
+    first.clear_requests();
+    second.clear_requests();
     for _ in 0..100 {
         assert!(gateway.send("GET", "/read/", "").contains(" 200 "));
     }
-    assert_eq!((one.requests().len(), other.requests().len()), (90, 10));
+    assert_eq!((first.requests().len(), second.requests().len()), (90, 10));
 }
 
-/// After a loss of power every VM refused for half a second, because its list of targets came later
-/// than its declarations.
+/// Guards against refusing requests after a start because the list of targets arrives after the
+/// declarations.
 #[test]
 fn a_request_waits_for_the_first_list_of_targets() {
     let target = TestTarget::start("t-1", Behavior::Serve);
     let store = MemoryStore::default();
     let mut declared = declarations(1);
-    // Long enough for the gateway's pause between two reads of the list.
+    // Longer than the gateway's interval between reads of the list.
     declared.routes.iter_mut().for_each(|route| route.latency_target = Duration::from_secs(4));
     store.declare(declared);
     let gateway = TestGateway::start("early", &store);
@@ -177,34 +181,32 @@
         exchange(gateway.readiness, "GET /ready HTTP/1.1\r\nhost: a\r\n\r\n").contains(" 503 ")
     );
     let response = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| gateway.send("GET", "/read/a", ""));
+        let sending = scope.spawn(|| gateway.send("GET", "/read/a", ""));
         std::thread::sleep(Duration::from_millis(60));
         store.list(entry(&target.id, "plain", target.address));
-        asked.join().unwrap()
+        sending.join().unwrap()
     });
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     gateway.wait_ready();
 }
 
-/// Pattern: a fleet of 300 VMs with a tenth of a core each that comes back from a loss of power at once.
-/// The last of them knew the declarations 0.33 s after its start; a third of what came until then was
-/// refused a few hundredths of a second too soon, and its callers came back behind all others.
+/// Guards against refusing requests shortly before the declarations arrive on a slow start.
 #[test]
 fn a_request_waits_for_declarations_that_come_late() {
     let target = TestTarget::start("t-1", Behavior::Serve);
     let store = MemoryStore::default();
     store.list(entry("t-1", "plain", target.address));
     let gateway = TestGateway::start("vm-slow-start", &store);
-    // Deadlines of these requests are a second; the declarations take 0.42 s of it.
-    let waiting = gateway.send_in_background("GET", "/read/early");
+    // The declarations arrive before the deadline of the request.
+    let sending = gateway.send_in_background("GET", "/read/early");
     std::thread::sleep(Duration::from_millis(320));
     store.declare(declarations(1));
-    let response = waiting.join().unwrap();
+    let response = sending.join().unwrap();
     assert!(response.contains("not-configured") || response.contains(" 200 "), "{response}");
     assert!(response.contains(" 200 "), "{response}");
 }
 
-/// A target whose machine takes no more connections, and what keeps it so.
+/// A listener with a full backlog, and the connections that fill it.
 fn full_listener() -> (socket2::Socket, std::net::SocketAddr, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
@@ -216,9 +218,9 @@
     (socket, address, fillers)
 }
 
-/// A zone was cut off, and each request for a key in it was held for 1.6 seconds before it was refused.
+/// Guards against holding each request for a key whose owner is unreachable.
 #[test]
-fn requests_to_a_target_out_of_reach_are_refused_at_once() {
+fn requests_to_an_unreachable_target_are_refused_at_once() {
     let (_socket, address, _fillers) = full_listener();
     let store = MemoryStore::default();
     store.list(entry("t-1", "keyed", address));
@@ -230,44 +232,50 @@
     wait_until("the key has an owner", || store.range_map().is_some_and(settled));
     let send = || gateway.send("GET", "/key/a", "x-key: 5\r\n");
     wait_until("the owner is known", || send().contains("target-unreachable"));
-    let begun = Instant::now();
-    let next = send();
-    assert!(next.contains("target-unreachable") && next.contains("retry-after"), "{next}");
-    // The connection that is tried next is one probe in 300 ms, of 400 ms.
-    assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
-    let begun = Instant::now();
-    let third = send();
-    assert!(third.contains("target-unreachable"), "{third}");
-    assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
+    let started = Instant::now();
+    let second_response = send();
+    assert!(
+        second_response.contains("target-unreachable") && second_response.contains("retry-after"),
+        "{second_response}"
+    );
+    // The gateway sends at most one probe in 300 ms, with a timeout of 400 ms.
+    assert!(started.elapsed() < Duration::from_millis(600), "{:?}", started.elapsed());
+    let started = Instant::now();
+    let third_response = send();
+    assert!(third_response.contains("target-unreachable"), "{third_response}");
+    assert!(started.elapsed() < Duration::from_millis(600), "{:?}", started.elapsed());
 }
 
-/// A full target says nothing; requests waited for it until they could not be in time any more.
+/// Guards against queueing requests until their deadline behind a target that never responds.
 #[test]
-fn requests_to_a_target_that_swallows_them_are_refused_at_once() {
+fn requests_to_a_target_that_never_responds_are_refused_at_once() {
     let target = TestTarget::start("t1", Behavior::NeverRespond);
     let (gateway, _store) = gateway_with_targets("vm-swallowed", &[&target]);
     let callers: Vec<_> = (0..2).map(|_| gateway.send_in_background("GET", "/read/")).collect();
     // Longer than the latency target of the route.
     std::thread::sleep(Duration::from_millis(700));
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = gateway.send("GET", "/read/", "");
     assert!(response.contains("overloaded") && response.contains("retry-after"), "{response}");
-    assert!(begun.elapsed() < Duration::from_millis(150), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(150), "{:?}", started.elapsed());
     callers.into_iter().for_each(|caller| drop(caller.join()));
 }
 
-/// All came back at the same moment, and were refused again.
+/// Guards against callers that all retry at the same moment and are refused again.
 #[test]
-fn callers_are_asked_back_spread_and_while_they_can_be_in_time() {
+fn retry_delays_are_randomized_and_within_the_latency_target() {
     let target = TestTarget::start("t1", Behavior::Shed);
     let (gateway, _store) = gateway_with_targets("vm-back", &[&target]);
-    let pause = || -> f64 {
+    let next_delay = || -> f64 {
         let response = gateway.send("GET", "/read/", "");
-        let pause = response.lines().find_map(|line| line.strip_prefix("retry-after: "));
-        pause.unwrap().parse().unwrap()
+        let retry_after = response.lines().find_map(|line| line.strip_prefix("retry-after: "));
+        retry_after.unwrap().parse().unwrap()
     };
-    let pauses: Vec<f64> = (0..5).map(|_| pause()).collect();
-    // The latency target is half a second, and an answer may take half of it.
-    assert!(pauses.iter().all(|pause| *pause > 0.0 && *pause < 0.25), "{pauses:?}");
-    assert!(pauses.iter().any(|pause| (pause - pauses[0]).abs() > 0.005), "{pauses:?}");
+    let retry_delays: Vec<f64> = (0..5).map(|_| next_delay()).collect();
+    // The latency target is half a second, and a response may take half of it.
+    assert!(retry_delays.iter().all(|delay| *delay > 0.0 && *delay < 0.25), "{retry_delays:?}");
+    assert!(
+        retry_delays.iter().any(|delay| (delay - retry_delays[0]).abs() > 0.005),
+        "{retry_delays:?}"
+    );
 }
