--- a/crates/nickellead_gateway/tests/stop.rs
+++ b/crates/nickellead_gateway/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What callers see of a VM that stops while their requests are under way.
+//! Requests that are running while their VM stops.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -11,7 +11,7 @@
 use common::target::{Behavior, TestTarget};
 use common::{TestGateway, declarations, entry, gateway_with_targets, read_response, wait_until};
 
-/// A request that its caller waits for this long.
+/// A request with this deadline.
 fn request(path: &str, deadline_ms: u64) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nhost: board.example\r\nx-request-id: r1\r\n\
@@ -19,12 +19,9 @@
     )
 }
 
-// Seen: VMs that were stopped as planned said at their end that requests had not finished.
-// How: the request of a caller that had left before was counted as running for ever.
-// Cause: the count went down only when an answer was there, and none comes for a caller that left.
-// Proof: a stop after such a caller says that every request has ended.
+/// Guards against counting the request of a disconnected caller as running forever.
 #[test]
-fn a_caller_that_left_is_not_counted_when_its_vm_stops() {
+fn a_disconnected_caller_does_not_count_as_a_running_request_at_stop() {
     let target = TestTarget::start("t1", Behavior::Serve);
     let (mut gateway, _store) = gateway_with_targets("vm-left", &[&target]);
     target.set_behavior(Behavior::NeverRespond);
@@ -33,15 +30,13 @@
     wait_until("the target has the request", || !target.requests().is_empty());
     drop(stream);
     wait_until("the target's connection is closed", || target.abandoned_requests() == 1);
-    assert!(gateway.handle.take().unwrap().stop(), "no request is left");
+    assert!(gateway.handle.take().unwrap().stop(), "a request still counts as running");
 }
 
-// Seen: a caller whose request waited for a target with room got nothing when its VM was stopped.
-// How: the targets were full, and the request had come just before the signal.
-// Cause: only requests that came after the signal were compared with the end of the process.
-// Proof: each caller has a refusal, or is told that its answer is lost, before the stop returns.
+/// Guards against leaving requests that are queued for a full target without a response when the VM
+/// stops.
 #[test]
-fn nobody_is_left_without_an_answer_when_the_grace_time_ends() {
+fn every_caller_gets_a_response_before_the_grace_period_ends() {
     let target = TestTarget::start("t1", Behavior::NeverRespond);
     let store = MemoryStore::default();
     store.list(entry("t1", "plain", target.address));
@@ -60,48 +55,47 @@
         stream.write_all(request("/write/", 20_000).as_bytes()).unwrap();
         read_response(&mut stream)
     };
-    let asking: Vec<_> = (0..3).map(|_| std::thread::spawn(send)).collect();
+    let sending: Vec<_> = (0..3).map(|_| std::thread::spawn(send)).collect();
     wait_until("the target is full", || target.requests().len() == 2);
-    // The third has been read and waits: nothing shows it from outside.
+    // Until the gateway has read and queued the third request, which is not visible from outside.
     std::thread::sleep(Duration::from_millis(300));
     gateway.handle.take().unwrap().stop();
-    let in_time = asking.iter().filter(|asking| asking.is_finished()).count();
-    assert_eq!(in_time, 3, "callers that were answered before the process would end");
-    let responses: Vec<String> = asking.into_iter().map(|asking| asking.join().unwrap()).collect();
+    let finished_count = sending.iter().filter(|sending| sending.is_finished()).count();
+    assert_eq!(finished_count, 3, "callers with a response before the process would end");
+    let responses: Vec<String> =
+        sending.into_iter().map(|sending| sending.join().unwrap()).collect();
     let refused = responses.iter().filter(|response| response.starts_with("HTTP/1.1 503")).count();
     let lost = responses.iter().filter(|response| response.starts_with("HTTP/1.1 502")).count();
     assert_eq!((refused, lost), (1, 2), "{responses:?}");
-    assert_eq!(target.requests().len(), 2, "what is refused has not run");
+    assert_eq!(target.requests().len(), 2, "a refused request reached the target");
 }
 
-// Seen: a caller behind a full link got the first part of an answer when its VM was stopped.
-// How: the rest waited in the process for room in the connection's window.
-// Cause: the process ended a fixed 50 ms after the last answer was made, not after it had left.
-// Proof: a caller that reads on late, but within the grace time, gets every byte.
+/// Guards against truncated responses when the caller reads slowly and the process ends before all
+/// is sent.
 #[test]
-fn an_answer_that_waits_for_room_on_its_connection_leaves_before_the_end() {
-    let length = 12 * 1024 * 1024;
+fn a_response_blocked_by_flow_control_is_sent_before_the_process_ends() {
+    let body_bytes = 12 * 1024 * 1024;
     let target = TestTarget::start("t1", Behavior::Serve);
     let store = MemoryStore::default();
     store.list(entry("t1", "plain", target.address));
     store.declare(declarations(1));
     let mut gateway = TestGateway::start_as("vm-window", &store, |settings| settings.grace_s = 4.0);
     gateway.wait_ready();
-    target.set_behavior(Behavior::RespondWithBody(length));
+    target.set_behavior(Behavior::RespondWithBody(body_bytes));
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(16 * 1024).unwrap();
     socket.connect(&gateway.callers.into()).unwrap();
     let mut stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     stream.write_all(request("/read/", 1_900).as_bytes()).unwrap();
-    wait_until("the target has answered", || !target.requests().is_empty());
+    wait_until("the target has the request", || !target.requests().is_empty());
     let stopping = std::thread::spawn(move || gateway.handle.take().unwrap().stop());
-    // Well after the VM takes nothing new any more, well before its process ends.
+    // After the VM stops accepting requests, before its process ends.
     std::thread::sleep(Duration::from_millis(3_550));
     let mut response = Vec::new();
-    // A reset gives what came before.
+    // A reset returns the bytes received before it.
     let _ = stream.read_to_end(&mut response);
-    let head = response.windows(4).position(|four| four == b"\r\n\r\n").unwrap();
-    assert_eq!(response.len() - head - 4, length, "bytes of the body");
-    assert!(stopping.join().unwrap(), "every request has ended");
+    let head_end = response.windows(4).position(|window| window == b"\r\n\r\n").unwrap();
+    assert_eq!(response.len() - head_end - 4, body_bytes, "body truncated");
+    assert!(stopping.join().unwrap(), "requests did not finish in time");
 }
