--- a/crates/nickellead_gateway/tests/metrics.rs
+++ b/crates/nickellead_gateway/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures add up with what callers saw.
+//! Metrics match the responses that callers got.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -6,37 +6,38 @@
 use common::target::{Behavior, TestTarget};
 use common::{exchange, gateway_with_targets, wait_until};
 
-/// The value of a figure, by the beginning of its line.
-fn figure(text: &str, start: &str) -> f64 {
-    let line = text.lines().find(|line| line.starts_with(start));
+/// The value of the first line with this prefix; 0 without one.
+fn metric_value(text: &str, prefix: &str) -> f64 {
+    let line = text.lines().find(|line| line.starts_with(prefix));
     line.map_or(0.0, |line| line.rsplit(' ').next().unwrap().parse().unwrap())
 }
 
 #[test]
-fn outcomes_errors_and_requests_add_up_with_what_callers_saw() {
+fn metrics_match_the_responses_that_callers_got() {
     let target = TestTarget::start("t-1", Behavior::Serve);
     let (gateway, _store) = gateway_with_targets("metrics", &[&target]);
     let scrape = || exchange(gateway.metrics, "GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n");
     let before = scrape();
-    let answered =
-        (0..20).filter(|_| gateway.send("GET", "/read/a", "").starts_with("HTTP/1.1 200"));
-    let answered = answered.count() as f64;
+    let served = (0..20).filter(|_| gateway.send("GET", "/read/a", "").starts_with("HTTP/1.1 200"));
+    let served = served.count() as f64;
     let unknown =
         (0..5).filter(|_| gateway.send("GET", "/nowhere/", "").starts_with("HTTP/1.1 404"));
     let unknown = unknown.count() as f64;
     let after = scrape();
-    let grown = |start: &str| figure(&after, start) - figure(&before, start);
-    assert_eq!((answered, unknown), (20.0, 5.0));
-    assert_eq!(grown("nickellead_requests_total"), 25.0);
-    assert_eq!(grown("nickellead_answer_seconds_count"), answered);
-    assert_eq!(grown("nickellead_errors_total{error=\"unknown-route\"}"), unknown);
+    let increase = |prefix: &str| metric_value(&after, prefix) - metric_value(&before, prefix);
+    assert_eq!((served, unknown), (20.0, 5.0));
+    assert_eq!(increase("nickellead_requests_total"), 25.0);
+    assert_eq!(increase("nickellead_answer_seconds_count"), served);
+    assert_eq!(increase("nickellead_errors_total{error=\"unknown-route\"}"), unknown);
     assert_eq!(
-        grown("nickellead_outcomes_total{service=\"plain\",outcome=\"answered\"}"),
-        answered
+        increase("nickellead_outcomes_total{service=\"plain\",outcome=\"answered\"}"),
+        served
     );
-    assert_eq!(grown("nickellead_outcomes_total{service=\"-\",outcome=\"not-run\"}"), unknown);
-    assert_eq!(figure(&after, "nickellead_config_version"), 1.0);
-    wait_until("the VM decides", || figure(&scrape(), "nickellead_mandate_held") == 1.0);
-    assert!(figure(&after, "nickellead_store_calls_total{answer=\"done\"}") > 0.0, "{after}");
-    assert!(after.trim_end().ends_with("# EOF"), "the text ends as the format asks");
+    assert_eq!(increase("nickellead_outcomes_total{service=\"-\",outcome=\"not-run\"}"), unknown);
+    assert_eq!(metric_value(&after, "nickellead_config_version"), 1.0);
+    wait_until("the VM holds the mandate", || {
+        metric_value(&scrape(), "nickellead_mandate_held") == 1.0
+    });
+    assert!(metric_value(&after, "nickellead_store_calls_total{answer=\"done\"}") > 0.0, "{after}");
+    assert!(after.trim_end().ends_with("# EOF"), "the end marker of the format is missing");
 }
