--- a/crates/nickellead_gateway/tests/declared_changes.rs
+++ b/crates/nickellead_gateway/tests/declared_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of declarations lead to the very content that they name, or to none.
+//! Changes of declarations either apply with exactly the intended result or are refused.
 #![allow(clippy::unwrap_used)]
 
 #[path = "common/many_routes.rs"]
@@ -16,53 +16,56 @@
 use nickellead_peer::{decode, encode};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
-/// Small declarations with names of routes in common, in any order.
+/// Small declarations with random routes from a common set of names, in random order.
 #[derive(Clone, Debug)]
-struct Declared(Declarations);
+struct ArbitraryDeclarations(Declarations);
 
-impl Arbitrary for Declared {
-    fn arbitrary(random: &mut Gen) -> Self {
-        let mut names: Vec<u32> = (0..16).filter(|_| bool::arbitrary(random)).collect();
-        names.sort_by_cached_key(|_| u32::arbitrary(random));
+impl Arbitrary for ArbitraryDeclarations {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let mut names: Vec<u32> = (0..16).filter(|_| bool::arbitrary(generator)).collect();
+        names.sort_by_cached_key(|_| u32::arbitrary(generator));
         let weights = [0.0, -0.0, 0.5, 1.0];
         let routes = names.iter().map(|name| {
-            let host = *random.choose(&["a.example", "b.example"]).unwrap();
-            let weight = *random.choose(&weights).unwrap();
+            let host = *generator.choose(&["a.example", "b.example"]).unwrap();
+            let weight = *generator.choose(&weights).unwrap();
             route(format!("route-{name}"), host, "path", weight)
         });
         let routes = routes.map(SharedRoute::from).collect();
         let rule =
-            ServiceRule { connections: u32::arbitrary(random) % 2, sharded: false, cold: None };
+            ServiceRule { connections: u32::arbitrary(generator) % 2, sharded: false, cold: None };
         let services = [("plain".to_owned(), rule)].into();
-        let header_bytes = usize::from(bool::arbitrary(random));
+        let header_bytes = usize::from(bool::arbitrary(generator));
         let limits = CallerLimits { header_bytes, ..CallerLimits::default() };
-        Self(Declarations { version: u64::arbitrary(random) % 2, routes, services, limits })
+        Self(Declarations { version: u64::arbitrary(generator) % 2, routes, services, limits })
     }
 }
 
-/// The same content with its routes by name.
+/// The same declarations with routes sorted by name.
 fn ordered(declarations: &Declarations) -> Declarations {
     let mut ordered = declarations.clone();
     ordered.routes.sort_by(|one, other| one.name.cmp(&other.name));
     ordered
 }
 
-/// Names as they must stand after a change: the old ones that stay, then the new ones.
+/// Expected order of route names after a change: retained names in the old order, then new names.
 fn names_after(old: &Declarations, new: &Declarations) -> Vec<String> {
     let names = |of: &Declarations| -> Vec<String> {
         of.routes.iter().map(|route| route.name.clone()).collect()
     };
     let (known, wanted) = (names(old), names(new));
-    let kept = known.iter().filter(|name| wanted.contains(name));
-    kept.chain(wanted.iter().filter(|name| !known.contains(name))).cloned().collect()
+    let retained = known.iter().filter(|name| wanted.contains(name));
+    retained.chain(wanted.iter().filter(|name| !known.contains(name))).cloned().collect()
 }
 
 quickcheck! {
-    fn a_change_leads_to_the_content_that_it_names(old: Declared, new: Declared) -> bool {
+    fn a_change_applied_to_its_base_gives_its_result(
+        old: ArbitraryDeclarations,
+        new: ArbitraryDeclarations
+    ) -> bool {
         let (old, new) = (old.0, new.0);
         let change = DeclarationsChange::between(&old, &new).unwrap();
-        let told: DeclarationsChange = decode(&encode(&change).unwrap()).unwrap();
-        let result = told.apply(&old).unwrap();
+        let received: DeclarationsChange = decode(&encode(&change).unwrap()).unwrap();
+        let result = received.apply(&old).unwrap();
         let names: Vec<_> = result.routes.iter().map(|route| route.name.clone()).collect();
         let again = DeclarationsChange::between(&result, &new).unwrap();
         ordered(&result) == ordered(&new)
@@ -72,31 +75,34 @@
             && again.services.is_none() && again.limits.is_none()
     }
 
-    fn a_state_depends_on_content_and_not_on_order(one: Declared, other: Declared) -> bool {
-        let mut turned = one.0.clone();
-        turned.routes.reverse();
+    fn a_state_depends_on_content_and_not_on_order(
+        one: ArbitraryDeclarations,
+        other: ArbitraryDeclarations
+    ) -> bool {
+        let mut reversed = one.0.clone();
+        reversed.routes.reverse();
         let change = DeclarationsChange::between(&one.0, &other.0).unwrap();
         let same = one.0.version == other.0.version && change.removed.is_empty()
             && change.set.is_empty() && change.services.is_none() && change.limits.is_none();
-        one.0.state() == turned.state() && (one.0.state() == other.0.state()) == same
+        one.0.state() == reversed.state() && (one.0.state() == other.0.state()) == same
     }
 
-    fn every_content_kept_leads_to_the_newest(contents: Vec<Declared>) -> bool {
+    fn every_retained_version_leads_to_the_newest(contents: Vec<ArbitraryDeclarations>) -> bool {
         let mut history = DeclarationsHistory::default();
         for pair in contents.windows(2) {
             history.push(step(&pair[0].0, &pair[1].0));
         }
         let Some(newest) = contents.last() else { return true };
-        let kept = contents.iter().rev().take(MAX_HISTORY_STEPS + 1).skip(1);
-        kept.map(|known| &known.0).all(|known| {
-            let news = DeclaredUpdate::Steps(history.since(known.state()).unwrap());
-            let news: DeclaredUpdate = decode(&encode(&news).unwrap()).unwrap();
-            let applied = news.apply(Some(known)).unwrap();
-            let mut follower = DeclarationsHistory::default();
-            follower.apply_update(&applied);
+        let retained = contents.iter().rev().take(MAX_HISTORY_STEPS + 1).skip(1);
+        retained.map(|known| &known.0).all(|known| {
+            let update = DeclaredUpdate::Steps(history.since(known.state()).unwrap());
+            let update: DeclaredUpdate = decode(&encode(&update).unwrap()).unwrap();
+            let applied = update.apply(Some(known)).unwrap();
+            let mut subscriber_history = DeclarationsHistory::default();
+            subscriber_history.apply_update(&applied);
             applied.state == newest.0.state()
                 && ordered(&applied.declarations) == ordered(&newest.0)
-                && DeclaredUpdate::Steps(follower.since(known.state()).unwrap()) == news
+                && DeclaredUpdate::Steps(subscriber_history.since(known.state()).unwrap()) == update
         })
     }
 }
@@ -105,7 +111,7 @@
     DeclaredStep::pack(&DeclarationsChange::between(old, new).unwrap()).unwrap()
 }
 
-/// A packed message of any bytes, as another VM may send it.
+/// A packed message with these raw bytes, as a faulty VM could send it.
 fn packed_of<T>(bytes: &[u8]) -> Packed<T> {
     decode(&encode(&bytes.to_vec()).unwrap()).unwrap()
 }
@@ -120,9 +126,9 @@
     let mut wrong = change.clone();
     wrong.set[1].attempts += 1;
     assert!(matches!(wrong.apply(&old), Err(ChangeError::WrongResult { .. })));
-    let news = DeclaredUpdate::Steps(vec![step(&old, &new).packed]);
-    assert!(matches!(news.apply(None), Err(UpdateError::NoBase)));
-    assert!(matches!(news.apply(Some(&new)), Err(UpdateError::Change(_))));
+    let update = DeclaredUpdate::Steps(vec![step(&old, &new).packed]);
+    assert!(matches!(update.apply(None), Err(UpdateError::NoBase)));
+    assert!(matches!(update.apply(Some(&new)), Err(UpdateError::Change(_))));
 }
 
 #[test]
@@ -157,7 +163,7 @@
 }
 
 #[test]
-fn a_history_forgets_what_exceeds_its_limits() {
+fn a_history_drops_what_exceeds_its_limits() {
     let contents: Vec<_> =
         (0..MAX_HISTORY_STEPS as u64 + 2).map(|version| random_declarations(version, 4)).collect();
     let mut history = DeclarationsHistory::default();
@@ -176,9 +182,9 @@
     }
     assert_eq!(history.since(contents[1].state()), None, "the chain was broken");
     assert_eq!(history.since(large[0].state()), None, "too many bytes");
-    let kept = large.iter().find_map(|known| history.since(known.state())).unwrap();
-    assert!(!kept.is_empty());
-    assert!(kept.iter().map(Packed::len).sum::<usize>() <= MAX_HISTORY_BYTES);
+    let retained = large.iter().find_map(|known| history.since(known.state())).unwrap();
+    assert!(!retained.is_empty());
+    assert!(retained.iter().map(Packed::len).sum::<usize>() <= MAX_HISTORY_BYTES);
 }
 
 #[test]
@@ -194,18 +200,18 @@
 }
 
 #[test]
-fn a_change_is_told_in_few_bytes() {
+fn a_packed_change_is_small() {
     let (old, new) = (random_declarations(1, 100), random_declarations(2, 1_500));
     let change = DeclarationsChange::between(&old, &new).unwrap();
     let (plain, packed) = (encode(&change).unwrap().len(), Packed::pack(&change).unwrap().len());
     assert!(packed * 100 < plain * 45, "{packed} of {plain} bytes");
-    let mut weighed = Declarations { version: 3, ..new.clone() };
-    weighed.routes[700].split[0].weight = 0.25;
-    assert!(step(&new, &weighed).packed.len() < 400);
+    let mut reweighted = Declarations { version: 3, ..new.clone() };
+    reweighted.routes[700].split[0].weight = 0.25;
+    assert!(step(&new, &reweighted).packed.len() < 400);
 }
 
-/// The result with the shortest of several times, in microseconds.
-fn timed<T>(run: impl Fn() -> T) -> (T, u128) {
+/// The result and time in microseconds of the fastest of several runs.
+fn fastest_of<T>(run: impl Fn() -> T) -> (T, u128) {
     let times = (0..20).map(|_| {
         let start = Instant::now();
         let result = run();
@@ -214,31 +220,31 @@
     times.min_by_key(|(_, time)| *time).unwrap()
 }
 
-fn print_packing<T: Encode + Decode<()>>(what: &str, message: &T) -> Packed<T> {
+fn print_packed_size<T: Encode + Decode<()>>(what: &str, message: &T) -> Packed<T> {
     let plain = encode(message).unwrap().len();
-    let (packed, pack) = timed(|| Packed::pack(message).unwrap());
-    let (_, unpack) = timed(|| packed.unpack().unwrap());
+    let (packed, pack) = fastest_of(|| Packed::pack(message).unwrap());
+    let (_, unpack) = fastest_of(|| packed.unpack().unwrap());
     let bytes = packed.len();
     eprintln!("{what}: plain {plain} B, packed {bytes} B, pack {pack} us, unpack {unpack} us");
     packed
 }
 
 #[test]
-fn figures_of_many_routes() {
+fn print_sizes_and_times_of_many_routes() {
     for count in [1_400, 4_200] {
         let (old, new) = (random_declarations(1, 100), random_declarations(2, 100 + count));
         eprintln!("{count} routes more than 100:");
-        print_packing("  whole copy", &new);
-        let (change, between) = timed(|| DeclarationsChange::between(&old, &new).unwrap());
-        print_packing("  change", &change);
-        let (_, apply) = timed(|| change.apply(&old).unwrap());
-        let (_, state) = timed(|| new.state());
+        print_packed_size("  whole copy", &new);
+        let (change, between) = fastest_of(|| DeclarationsChange::between(&old, &new).unwrap());
+        print_packed_size("  change", &change);
+        let (_, apply) = fastest_of(|| change.apply(&old).unwrap());
+        let (_, state) = fastest_of(|| new.state());
         eprintln!("  between {between} us, apply {apply} us, state {state} us");
-        let mut weighed = Declarations { version: 3, ..new.clone() };
-        weighed.routes[700].split[0].weight = 0.25;
-        let change = DeclarationsChange::between(&new, &weighed).unwrap();
-        print_packing("  one weight", &change);
-        let (_, apply) = timed(|| change.apply(&new).unwrap());
+        let mut reweighted = Declarations { version: 3, ..new.clone() };
+        reweighted.routes[700].split[0].weight = 0.25;
+        let change = DeclarationsChange::between(&new, &reweighted).unwrap();
+        print_packed_size("  one weight", &change);
+        let (_, apply) = fastest_of(|| change.apply(&new).unwrap());
         eprintln!("  apply {apply} us");
     }
 }
