--- a/crates/nickellead_gateway/tests/store_soak.rs
+++ b/crates/nickellead_gateway/tests/store_soak.rs
@@ -1,8 +1,9 @@
-//! Random words of targets and operators to a store that is away and comes back older, against three VMs:
-//! no key has two owners, no VM goes back, nobody is asked after it left, and all is served in the end.
+//! Random entries, declarations, store outages and restores against three VMs: no key has two
+//! owners, no VM returns to older declarations, no target gets requests after it left, and all keys
+//! are served in the end.
 //!
-//! `NICKELLEAD_STORE_SEEDS=50 cargo test -p nickellead_gateway --test store_soak` plays more seeds, and
-//! `NICKELLEAD_FIRST_STORE_SEED` says from which one.
+//! `NICKELLEAD_STORE_SEEDS=50 cargo test -p nickellead_gateway --test store_soak` runs more seeds;
+//! `NICKELLEAD_FIRST_STORE_SEED` sets the first one.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -20,27 +21,25 @@
 use nickellead_gateway::{TargetEntry, TargetState};
 
 const VMS: usize = 3;
-/// Targets of each of the two services, of which the first one never leaves.
+/// Targets per service; the first one never leaves.
 const TARGETS: usize = 4;
 const SERVICES: [&str; 2] = ["plain", "keyed"];
-/// Length of the trouble of one seed.
-const TROUBLE: Duration = Duration::from_secs(14);
-/// Everybody is served within this time after it: longer than keys wait that are in doubt.
-const RECOVERY: Duration = Duration::from_secs(40);
-/// Requests may reach a target for this long after the store took its word that it leaves.
-const DRAIN: Duration = Duration::from_millis(2_000);
-/// The store is stable while it has not been away for this long.
-const STABLE: Duration = Duration::from_millis(3_000);
-/// Between two copies of the store.
-const COPY_PERIOD: Duration = Duration::from_millis(250);
-/// How old a copy is, in copies.
-const COPY_AGES: std::ops::Range<usize> = 4..24;
-/// For how long the store is away, in milliseconds.
-const AWAY_MS: std::ops::Range<u64> = 100..3_000;
-/// Targets and operators write again within this time, in milliseconds.
-const AGAIN_MS: std::ops::Range<u64> = 100..1_500;
+const FAULT_DURATION: Duration = Duration::from_secs(14);
+/// Maximum time until all keys are served after the faults; longer than unconfirmed keys wait.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(40);
+/// Time after the store received the draining entry of a target during which requests may still
+/// reach it.
+const MAX_DRAIN_TIME: Duration = Duration::from_millis(2_000);
+/// Minimum time between a draining entry and an outage for the drain time to be checked.
+const STABILITY_MARGIN: Duration = Duration::from_millis(3_000);
+const BACKUP_INTERVAL: Duration = Duration::from_millis(250);
+/// Age of the restored backup, in backups.
+const BACKUP_AGES: std::ops::Range<usize> = 4..24;
+const OUTAGE_MS: std::ops::Range<u64> = 100..3_000;
+/// Time within which targets and operators write again after a restore.
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 100..1_500;
 
-/// A target, as it would tell the store of itself.
+/// A target with the state that it writes to the store.
 struct SoakTarget {
     target: TestTarget,
     service: &'static str,
@@ -55,7 +54,7 @@
         TargetEntry { born: Some(self.instance), state: self.state, ..entry }
     }
 
-    /// Writes its entry as it should stand.
+    /// Lists or unlists the target according to its state.
     fn write(&self, store: &MemoryStore) {
         match self.is_listed {
             true => store.list(self.entry()),
@@ -63,7 +62,7 @@
         }
     }
 
-    fn start_again(&mut self, store: &MemoryStore) {
+    fn restart(&mut self, store: &MemoryStore) {
         self.instance += 1;
         (self.state, self.is_listed) = (TargetState::Ready, true);
         self.target.set_signals(&format!("x-life: {}/{}\r\n", self.target.id, self.instance));
@@ -71,25 +70,25 @@
     }
 }
 
-/// The word of one life of a target that it leaves.
-struct LeavingWord {
+/// When an instance of a target wrote that it leaves.
+struct LeavingRecord {
     instance: String,
     at: Instant,
 }
 
-/// Everything of one seed.
-struct SoakWorld {
+/// The simulation of one seed.
+struct Simulation {
     seed: u64,
     store: MemoryStore,
     gateways: Vec<TestGateway>,
     ended: AtomicBool,
     version: AtomicUsize,
-    broken: Mutex<Vec<String>>,
+    violations: Mutex<Vec<String>>,
 }
 
-impl SoakWorld {
-    /// Requests of one caller until the end of the seed.
-    fn call(&self, vm: usize) {
+impl Simulation {
+    /// Sends requests of one caller until the simulation ends.
+    fn run_caller(&self, vm: usize) {
         let mut random = fastrand::Rng::with_seed(self.seed * 100 + vm as u64);
         while !self.ended.load(Ordering::Relaxed) {
             self.send(vm, random.u16(..));
@@ -97,7 +96,7 @@
         }
     }
 
-    /// One request, plain for odd keys; tells whether it was served.
+    /// Sends one request, for odd keys to the service `plain`; returns whether it was served.
     fn send(&self, vm: usize, key: u16) -> bool {
         let path = if key % 2 == 1 { "/read/" } else { "/key/" };
         let request = format!(
@@ -107,90 +106,96 @@
         exchange(self.gateways[vm].callers, &request).contains(" 200 ")
     }
 
-    /// Watches that a VM's declarations never become older.
-    fn watch_version(&self, vm: usize) {
+    /// Checks that the version of a VM's declarations never decreases.
+    fn check_version(&self, vm: usize) {
         let mut newest = 0;
         while !self.ended.load(Ordering::Relaxed) {
             let version = self.gateways[vm].active_version();
             if version < newest {
-                let text = format!("VM {vm} went back from version {newest} to {version}");
-                self.broken.lock().unwrap().push(text);
+                let text = format!("VM {vm} returned from version {newest} to {version}");
+                self.violations.lock().unwrap().push(text);
             }
             newest = newest.max(version);
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Declares the newest version, or one more.
-    fn declare(&self, more: usize) {
-        let version = self.version.fetch_add(more, Ordering::Relaxed) + more;
+    /// Writes declarations with a version increased by `increment`.
+    fn declare(&self, increment: usize) {
+        let version = self.version.fetch_add(increment, Ordering::Relaxed) + increment;
         self.store.declare(declarations(version as u64));
     }
 
-    /// Random events until the trouble is over. Gives the words of leavers, and when the store was away.
-    fn trouble(&self, targets: &mut [SoakTarget]) -> (Vec<LeavingWord>, Vec<(Instant, Instant)>) {
+    /// Injects random faults for `FAULT_DURATION`; returns the records of leaving targets and the
+    /// outages.
+    fn inject_faults(
+        &self,
+        targets: &mut [SoakTarget],
+    ) -> (Vec<LeavingRecord>, Vec<(Instant, Instant)>) {
         let mut random = fastrand::Rng::with_seed(self.seed);
-        let (mut words, mut outages) = (Vec::new(), Vec::new());
-        let mut copies: VecDeque<(Instant, StoreBackup)> = VecDeque::new();
-        let end = Instant::now() + TROUBLE;
+        let (mut leaving_records, mut outages) = (Vec::new(), Vec::new());
+        let mut backups: VecDeque<(Instant, StoreBackup)> = VecDeque::new();
+        let end = Instant::now() + FAULT_DURATION;
         while Instant::now() < end {
-            if copies.back().is_none_or(|(at, _)| at.elapsed() > COPY_PERIOD) {
-                copies.push_back((Instant::now(), self.store.backup()));
+            if backups.back().is_none_or(|(at, _)| at.elapsed() > BACKUP_INTERVAL) {
+                backups.push_back((Instant::now(), self.store.backup()));
             }
             let number = random.usize(..targets.len());
             let target = &mut targets[number];
-            let stays = number.is_multiple_of(TARGETS);
-            let may_leave = !stays && target.state == TargetState::Ready;
+            let never_leaves = number.is_multiple_of(TARGETS);
+            let may_leave = !never_leaves && target.state == TargetState::Ready;
             match random.u8(..16) {
                 0..=2 if may_leave => {
                     target.state = TargetState::Draining;
                     target.write(&self.store);
                     let instance = format!("{}/{}", target.target.id, target.instance);
-                    words.push(LeavingWord { instance, at: Instant::now() });
+                    leaving_records.push(LeavingRecord { instance, at: Instant::now() });
                 }
                 3..=5 if target.state == TargetState::Draining => {
                     target.is_listed = false;
                     target.write(&self.store);
                     std::thread::sleep(Duration::from_millis(100));
-                    target.start_again(&self.store);
+                    target.restart(&self.store);
                 }
                 6 | 7 => self.declare(1),
                 8 => {
-                    let away = Instant::now();
-                    self.come_back_older(&mut random, &mut copies, targets);
-                    outages.push((away, Instant::now()));
+                    let outage_start = Instant::now();
+                    self.restore_older(&mut random, &mut backups, targets);
+                    outages.push((outage_start, Instant::now()));
                 }
                 _ => {}
             }
             std::thread::sleep(Duration::from_millis(random.u64(20..200)));
         }
-        (words, outages)
+        (leaving_records, outages)
     }
 
-    /// The store is away, comes back from a copy, and is told anew by those who had written to it.
-    fn come_back_older(
+    /// Makes the store unavailable, restores a backup, and rewrites entries and declarations.
+    fn restore_older(
         &self,
         random: &mut fastrand::Rng,
-        copies: &mut VecDeque<(Instant, StoreBackup)>,
+        backups: &mut VecDeque<(Instant, StoreBackup)>,
         targets: &[SoakTarget],
     ) {
         self.store.set_unavailable(true);
-        std::thread::sleep(Duration::from_millis(random.u64(AWAY_MS)));
-        let kept = copies.len().saturating_sub(random.usize(COPY_AGES)).max(1);
-        copies.truncate(kept);
-        if let Some((_, copy)) = copies.back() {
-            self.store.restore(copy);
+        std::thread::sleep(Duration::from_millis(random.u64(OUTAGE_MS)));
+        let retained = backups.len().saturating_sub(random.usize(BACKUP_AGES)).max(1);
+        backups.truncate(retained);
+        if let Some((_, backup)) = backups.back() {
+            self.store.restore(backup);
         }
         self.store.set_unavailable(false);
         for target in targets {
-            std::thread::sleep(Duration::from_millis(random.u64(AGAIN_MS) / targets.len() as u64));
+            std::thread::sleep(Duration::from_millis(
+                random.u64(REWRITE_DELAY_MS) / targets.len() as u64,
+            ));
             target.write(&self.store);
         }
         self.declare(0);
     }
 
-    /// Whether every VM serves a sample of all keys by the newest declarations.
-    fn is_well(&self) -> bool {
+    /// Whether every VM has the newest declarations and serves a sample of keys.
+    fn is_recovered(&self) -> bool {
         let newest = self.version.load(Ordering::Relaxed) as u64;
         let mut keys = (0..=u16::MAX).step_by(8_191);
         (0..VMS).all(|vm| self.gateways[vm].active_version() == newest)
@@ -198,32 +203,38 @@
     }
 }
 
-/// Requests that reached a target too long after the stable store had taken its word that it leaves.
+/// Requests that reached a target too long after its draining entry, without an outage around that
+/// time.
 fn late_requests(
     targets: &[SoakTarget],
-    words: &[LeavingWord],
+    leaving_records: &[LeavingRecord],
     outages: &[(Instant, Instant)],
 ) -> Vec<String> {
-    let is_stable = |word: &&LeavingWord| {
-        let apart = |(from, to): &(Instant, Instant)| {
-            *to + STABLE < word.at || *from > word.at + DRAIN + STABLE
+    let is_stable = |record: &&LeavingRecord| {
+        let is_apart = |(from, to): &(Instant, Instant)| {
+            *to + STABILITY_MARGIN < record.at
+                || *from > record.at + MAX_DRAIN_TIME + STABILITY_MARGIN
         };
-        outages.iter().all(apart)
+        outages.iter().all(is_apart)
     };
     let mut late = Vec::new();
-    for word in words.iter().filter(is_stable) {
-        let head = format!("x-life: {}\r\n", word.instance);
+    for record in leaving_records.iter().filter(is_stable) {
+        let signals = format!("x-life: {}\r\n", record.instance);
         for arrival in targets.iter().flat_map(|target| target.target.arrivals()) {
-            if arrival.signals == head && arrival.at > word.at + DRAIN {
-                late.push(format!("{} is asked {:?} later", word.instance, arrival.at - word.at));
+            if arrival.signals == signals && arrival.at > record.at + MAX_DRAIN_TIME {
+                late.push(format!(
+                    "{} got a request {:?} after its draining entry",
+                    record.instance,
+                    arrival.at - record.at
+                ));
             }
         }
     }
     late
 }
 
-/// Plays one seed; gives what broke.
-fn play(seed: u64) -> Vec<String> {
+/// Runs one seed; returns the violations.
+fn run_seed(seed: u64) -> Vec<String> {
     let store = MemoryStore::default();
     let start = |service: &'static str, number| SoakTarget {
         target: TestTarget::start(&format!("{service}-{number}"), Behavior::Serve),
@@ -236,38 +247,39 @@
         .into_iter()
         .flat_map(|service| (0..TARGETS).map(move |number| start(service, number)))
         .collect();
-    targets.iter_mut().for_each(|target| target.start_again(&store));
+    targets.iter_mut().for_each(|target| target.restart(&store));
     store.declare(declarations(1));
     let name = |vm| format!("vm-store-{seed}-{vm}");
     let gateways: Vec<_> = (0..VMS).map(|vm| TestGateway::start(&name(vm), &store)).collect();
     gateways.iter().for_each(TestGateway::wait_ready);
-    let (version, broken, ended) = (AtomicUsize::new(1), Mutex::default(), AtomicBool::default());
-    let world = SoakWorld { seed, store, gateways, ended, version, broken };
-    let (words, outages) = std::thread::scope(|scope| {
+    let (version, violations, ended) =
+        (AtomicUsize::new(1), Mutex::default(), AtomicBool::default());
+    let simulation = Simulation { seed, store, gateways, ended, version, violations };
+    let (leaving_records, outages) = std::thread::scope(|scope| {
         for vm in 0..VMS {
-            let world = &world;
-            scope.spawn(move || world.call(vm));
-            scope.spawn(move || world.watch_version(vm));
+            let simulation = &simulation;
+            scope.spawn(move || simulation.run_caller(vm));
+            scope.spawn(move || simulation.check_version(vm));
         }
-        let seen = world.trouble(&mut targets);
-        let over = Instant::now();
-        while !world.is_well() {
-            if over.elapsed() > RECOVERY {
-                let text = format!("not well {RECOVERY:?} after the trouble");
-                world.broken.lock().unwrap().push(text);
+        let result = simulation.inject_faults(&mut targets);
+        let faults_ended_at = Instant::now();
+        while !simulation.is_recovered() {
+            if faults_ended_at.elapsed() > MAX_RECOVERY_TIME {
+                let text = format!("not served {MAX_RECOVERY_TIME:?} after the faults");
+                simulation.violations.lock().unwrap().push(text);
                 break;
             }
         }
-        world.ended.store(true, Ordering::Relaxed);
-        seen
+        simulation.ended.store(true, Ordering::Relaxed);
+        result
     });
-    let mut broken = world.broken.lock().unwrap().clone();
-    broken.extend(late_requests(&targets, &words, &outages));
-    broken.extend(ownership_violations(&world.store.timed_orders()));
-    broken
+    let mut violations = simulation.violations.lock().unwrap().clone();
+    violations.extend(late_requests(&targets, &leaving_records, &outages));
+    violations.extend(ownership_violations(&simulation.store.timed_orders()));
+    violations
 }
 
 #[test]
-fn no_vm_goes_by_what_the_store_has_lost() {
-    run_seeds("NICKELLEAD_FIRST_STORE_SEED", "NICKELLEAD_STORE_SEEDS", play);
+fn no_vm_returns_to_lost_state_after_a_restore() {
+    run_seeds("NICKELLEAD_FIRST_STORE_SEED", "NICKELLEAD_STORE_SEEDS", run_seed);
 }
