--- a/crates/nickellead_gateway/tests/slow_links.rs
+++ b/crates/nickellead_gateway/tests/slow_links.rs
@@ -1,18 +1,12 @@
-//! Declarations reach every VM in time although the links between VMs are slow.
+//! Declarations reach every VM in time over slow links between VMs.
 //!
-//! Seen: on 90 VMs, most with a link of 10 Mbit/s, declarations with 1,400 routes more, followed by
-//! new weights half a second later, were in force on the last VM 2.3 s to 3.0 s after the store had
-//! them; 2.5 s are allowed. How: most VMs lost their source within four seconds and asked another.
-//! Suspected cause: each change was told as a whole copy, fifteen of them over the link of one VM,
-//! and a copy that was not there 850 ms after the question was dropped and asked for anew elsewhere,
-//! one source after another. Proof: the links below carry that many bytes a second and no more, and
-//! over them such changes make most VMs turn to the store and can be too late; two tests show each
-//! cause alone.
+//! Guards against whole copies where a change would do, and against dropping a copy that arrives
+//! slowly and requesting it again from another upstream.
 #![allow(clippy::unwrap_used, clippy::print_stdout)]
 
 mod common;
 
-mod slow_links_incident {
+mod propagation {
     use std::io::Write;
     use std::net::{SocketAddr, TcpStream};
     use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
@@ -26,41 +20,39 @@
     use super::common::store::{MemoryStore, StoreObject};
     use super::common::{TestGateway, declarations, read_response, route, wait_until};
 
-    /// Bytes a second of a link of 10 Mbit/s.
-    const LINK_RATE: f64 = 1_250_000.0;
-    /// Bytes a second of a link that takes some two and a half seconds for a packed copy of
-    /// `MOST_ROUTES`.
-    const SLOW_RATE: f64 = 30_000.0;
-    /// When declarations must be in force after the store has them.
-    const IN_FORCE: Duration = Duration::from_millis(2_500);
-    /// New weights follow new routes after this time.
-    const WEIGHTS_AFTER: Duration = Duration::from_millis(500);
-    /// Longest time that is waited for a change, to tell how late it was.
-    const WATCH: Duration = Duration::from_secs(6);
-    /// Longest time without changes that VMs have to find a source again.
-    const REST: Duration = Duration::from_secs(4);
-    /// How long nobody but the holder must have followed the store.
-    const QUIET: Duration = Duration::from_millis(700);
-    /// Between two looks at what is in force.
-    const LOOK: Duration = Duration::from_millis(20);
-    /// Between two looks at what is in force on one VM of ninety: a look takes processor time that the
-    /// VMs need, and makes a version seem later than it is.
-    const VM_LOOK: Duration = Duration::from_millis(100);
-    /// VMs beside the holder of the mandate: enough that those that follow it, three in each zone,
-    /// have five readers each.
-    const READERS: usize = 89;
+    /// 10 Mbit/s.
+    const LINK_BYTES_PER_SECOND: f64 = 1_250_000.0;
+    /// Rate at which a packed copy of `MAX_ROUTES` takes about two and a half seconds.
+    const SLOW_LINK_BYTES_PER_SECOND: f64 = 30_000.0;
+    /// Maximum delay until declarations of the store are active on all VMs.
+    const MAX_ACTIVATION_DELAY: Duration = Duration::from_millis(2_500);
+    /// Time between the change of routes and the change of weights.
+    const WEIGHT_CHANGE_DELAY: Duration = Duration::from_millis(500);
+    /// Maximum time to wait for a change.
+    const OBSERVATION_TIME: Duration = Duration::from_secs(6);
+    /// Maximum time to wait without changes until VMs have an upstream again.
+    const MAX_SETTLE_TIME: Duration = Duration::from_secs(4);
+    /// Time for which only the mandate holder must watch the store.
+    const STABLE_TIME: Duration = Duration::from_millis(700);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    /// Polling of all VMs takes processor time that the VMs need, and makes a version seem later
+    /// than it is.
+    const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+    /// VMs besides the holder of the mandate (leader lease): enough that each of its direct
+    /// subscribers, three in each zone, has five subscribers.
+    const SUBSCRIBERS: usize = 89;
     const ZONES: usize = 5;
-    const FIRST_ROUTES: usize = 110;
-    const MORE_ROUTES: usize = 1_400;
-    const MOST_ROUTES: usize = FIRST_ROUTES + 3 * MORE_ROUTES;
+    const INITIAL_ROUTES: usize = 110;
+    const ADDED_ROUTES: usize = 1_400;
+    const MAX_ROUTES: usize = INITIAL_ROUTES + 3 * ADDED_ROUTES;
 
-    /// Tests that measure links run one after another.
-    fn alone() -> MutexGuard<'static, ()> {
-        static ALONE: Mutex<()> = Mutex::new(());
-        ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Serializes the tests of this file, which measure links.
+    fn exclusive_lock() -> MutexGuard<'static, ()> {
+        static EXCLUSIVE: Mutex<()> = Mutex::new(());
+        EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A VM and the link over which others reach it.
+    /// A VM behind a paced link.
     struct LinkedVm {
         name: String,
         gateway: TestGateway,
@@ -79,46 +71,46 @@
             Self { name: name.to_owned(), gateway, link: link.unwrap() }
         }
 
-        fn wait_for(&self, version: u64) {
-            let mut watch = VersionWatch::open(self.gateway.metrics);
-            wait_until("a version is in force", || watch.look() >= version);
+        fn wait_for_version(&self, version: u64) {
+            let mut poller = VersionPoller::open(self.gateway.metrics);
+            wait_until("a version is active", || poller.poll() >= version);
         }
     }
 
-    /// The holder of the mandate, and then readers spread over the zones.
-    fn fleet(readers: usize, rate: f64, store: &MemoryStore) -> Vec<LinkedVm> {
+    /// Starts the mandate holder and then subscribers spread over the zones.
+    fn start_fleet(subscribers: usize, rate: f64, store: &MemoryStore) -> Vec<LinkedVm> {
         let mut vms = vec![LinkedVm::start("vm-0", 0, rate, store)];
-        wait_until("the first VM leads", || store.mandate_holder().is_some());
-        vms[0].wait_for(1);
-        let more = (1..=readers)
+        wait_until("the first VM holds the mandate", || store.mandate_holder().is_some());
+        vms[0].wait_for_version(1);
+        let started_subscribers = (1..=subscribers)
             .map(|index| LinkedVm::start(&format!("vm-{index}"), index % ZONES, rate, store));
-        vms.extend(more);
+        vms.extend(started_subscribers);
         vms
     }
 
-    /// Waits until every VM but the holder has followed another for a while, `REST` at most: VMs that
-    /// follow the store hear of a change without any link.
-    fn rest(store: &MemoryStore) {
-        let end = Instant::now() + REST;
-        let mut quiet_since = Instant::now();
-        while quiet_since.elapsed() < QUIET && Instant::now() < end {
+    /// Waits up to `MAX_SETTLE_TIME` until every VM but the mandate holder has had an upstream for
+    /// `STABLE_TIME`: VMs that watch the store receive changes without any link.
+    fn wait_until_settled(store: &MemoryStore) {
+        let end = Instant::now() + MAX_SETTLE_TIME;
+        let mut stable_since = Instant::now();
+        while stable_since.elapsed() < STABLE_TIME && Instant::now() < end {
             if store.watching_vms() > 1 {
-                quiet_since = Instant::now();
+                stable_since = Instant::now();
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        println!("VMs that follow the store before the change: {}", store.watching_vms());
+        println!("VMs that watch the store before the change: {}", store.watching_vms());
     }
 
-    /// Asks one VM which declarations are in force.
-    struct VersionWatch(TcpStream);
+    /// Polls the active version of one VM over a persistent connection.
+    struct VersionPoller(TcpStream);
 
-    impl VersionWatch {
+    impl VersionPoller {
         fn open(metrics: SocketAddr) -> Self {
             Self(TcpStream::connect(metrics).unwrap())
         }
 
-        fn look(&mut self) -> u64 {
+        fn poll(&mut self) -> u64 {
             self.0.write_all(b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
             let text = read_response(&mut self.0);
             let start = "nickellead_config_version ";
@@ -127,36 +119,39 @@
         }
     }
 
-    /// When a version or a newer one came into force on a VM, for each of two versions.
-    fn watch_vm(metrics: SocketAddr, versions: [u64; 2]) -> JoinHandle<[Option<Instant>; 2]> {
+    /// For each of two versions, the time at which it or a newer one became active on a VM.
+    fn observe_versions(
+        metrics: SocketAddr,
+        versions: [u64; 2],
+    ) -> JoinHandle<[Option<Instant>; 2]> {
         std::thread::spawn(move || {
-            let mut watch = VersionWatch::open(metrics);
-            let end = Instant::now() + WATCH;
-            let mut seen = [None; 2];
-            while seen[1].is_none() && Instant::now() < end {
-                let version = watch.look();
-                for (seen, wanted) in seen.iter_mut().zip(versions) {
+            let mut poller = VersionPoller::open(metrics);
+            let end = Instant::now() + OBSERVATION_TIME;
+            let mut activated_at = [None; 2];
+            while activated_at[1].is_none() && Instant::now() < end {
+                let version = poller.poll();
+                for (activated_at, wanted) in activated_at.iter_mut().zip(versions) {
                     if version >= wanted {
-                        seen.get_or_insert_with(Instant::now);
+                        activated_at.get_or_insert_with(Instant::now);
                     }
                 }
-                std::thread::sleep(VM_LOOK);
+                std::thread::sleep(VERSION_POLL_INTERVAL);
             }
-            seen
+            activated_at
         })
     }
 
-    /// Routes whose texts can't be made much shorter.
+    /// Routes with random texts that compress badly.
     fn random_routes(count: usize) -> Vec<RouteRule> {
         let mut rng = Rng::with_seed(7);
-        let mut letters = || -> String {
+        let mut random_letters = || -> String {
             let length = rng.usize(6..=8);
             (0..length).map(|_| rng.lowercase()).collect()
         };
         let mut random_route = || RouteRule {
-            host: letters(),
-            path_prefix: format!("/{}/", letters()),
-            ..route(&letters(), "plain", RepeatClass::Safe)
+            host: random_letters(),
+            path_prefix: format!("/{}/", random_letters()),
+            ..route(&random_letters(), "plain", RepeatClass::Safe)
         };
         (0..count).map(|_| random_route()).collect()
     }
@@ -166,149 +161,170 @@
         Declarations { routes, ..declarations(version) }
     }
 
-    /// The same routes with another weight on one of them.
+    /// Declarations with another weight on the first route.
     fn reweighted(version: u64, routes: &mut [RouteRule]) -> Declarations {
         routes[0].split[0].weight += 1.0;
         declared(version, routes)
     }
 
-    fn copy_bytes(declarations: &Declarations) -> u64 {
+    fn encoded_bytes(declarations: &Declarations) -> u64 {
         bincode::encode_to_vec(declarations, bincode::config::standard()).unwrap().len() as u64
     }
 
-    /// How late a version was on each VM, earliest first.
-    fn delays(told: Instant, seen: impl Iterator<Item = Option<Instant>>) -> Vec<Duration> {
-        let delay = |seen: Option<Instant>| seen.map_or(WATCH, |seen| seen.duration_since(told));
-        let mut delays: Vec<Duration> = seen.map(delay).collect();
-        delays.sort();
-        delays
+    /// Delay until a version was active on each VM, ascending.
+    fn activation_delays(
+        declared_at: Instant,
+        activated_at: impl Iterator<Item = Option<Instant>>,
+    ) -> Vec<Duration> {
+        let delay = |activated_at: Option<Instant>| {
+            activated_at
+                .map_or(OBSERVATION_TIME, |activated_at| activated_at.duration_since(declared_at))
+        };
+        let mut activation_delays: Vec<Duration> = activated_at.map(delay).collect();
+        activation_delays.sort();
+        activation_delays
     }
 
-    /// What came of one large change and of the new weights after it.
+    /// Outcome of one large change and the change of weights after it.
     struct ChangeOutcome {
-        /// How late each of the two versions was on the last VM.
+        /// Delay of each of the two versions on the last VM.
         worst: [Duration; 2],
-        /// VMs beside the holder that followed the store when it was over.
-        turned: usize,
+        /// VMs other than the mandate holder that watched the store afterwards.
+        watching_subscribers: usize,
     }
 
-    /// Three large changes in a row, played once for all tests that judge them.
+    /// Runs three large changes in a row, once for all tests that check them.
     fn large_changes() -> &'static [ChangeOutcome] {
-        static PLAYED: OnceLock<Vec<ChangeOutcome>> = OnceLock::new();
-        PLAYED.get_or_init(|| {
+        static OUTCOMES: OnceLock<Vec<ChangeOutcome>> = OnceLock::new();
+        OUTCOMES.get_or_init(|| {
             let store = MemoryStore::default();
-            let mut routes = random_routes(MOST_ROUTES);
-            store.declare(declared(1, &routes[..FIRST_ROUTES]));
-            let vms = fleet(READERS, LINK_RATE, &store);
-            vms.iter().for_each(|vm| vm.wait_for(1));
-            let play = |change| {
-                rest(&store);
-                let known = &mut routes[..FIRST_ROUTES + change * MORE_ROUTES];
-                play_change(&vms, &store, 2 * change as u64, known)
+            let mut routes = random_routes(MAX_ROUTES);
+            store.declare(declared(1, &routes[..INITIAL_ROUTES]));
+            let vms = start_fleet(SUBSCRIBERS, LINK_BYTES_PER_SECOND, &store);
+            vms.iter().for_each(|vm| vm.wait_for_version(1));
+            let run = |change| {
+                wait_until_settled(&store);
+                let declared_routes = &mut routes[..INITIAL_ROUTES + change * ADDED_ROUTES];
+                run_change(&vms, &store, 2 * change as u64, declared_routes)
             };
-            (1..=3).map(play).collect()
+            (1..=3).map(run).collect()
         })
     }
 
-    /// Declares routes as this version, and new weights as the next.
-    fn play_change(
+    /// Declares routes as `version`, and new weights as the next version.
+    fn run_change(
         vms: &[LinkedVm],
         store: &MemoryStore,
         version: u64,
         routes: &mut [RouteRule],
     ) -> ChangeOutcome {
         let versions = [version, version + 1];
-        let before = vms[0].link.bytes();
-        let watches: Vec<_> = vms.iter().map(|vm| watch_vm(vm.gateway.metrics, versions)).collect();
+        let bytes_before = vms[0].link.bytes();
+        let observers: Vec<_> =
+            vms.iter().map(|vm| observe_versions(vm.gateway.metrics, versions)).collect();
         let new_routes = declared(version, routes);
-        let copy = copy_bytes(&new_routes);
-        let first = Instant::now();
+        let copy_size = encoded_bytes(&new_routes);
+        let routes_declared_at = Instant::now();
         store.declare(new_routes);
-        std::thread::sleep(WEIGHTS_AFTER);
-        let second = Instant::now();
+        std::thread::sleep(WEIGHT_CHANGE_DELAY);
+        let weights_declared_at = Instant::now();
         store.declare(reweighted(version + 1, routes));
-        let seen: Vec<_> = watches.into_iter().map(|watch| watch.join().unwrap()).collect();
-        let told = vms[0].link.bytes() - before;
-        let turned = store.watching_vms().saturating_sub(1);
+        let activation_times: Vec<_> =
+            observers.into_iter().map(|observer| observer.join().unwrap()).collect();
+        let holder_bytes = vms[0].link.bytes() - bytes_before;
+        let watching_subscribers = store.watching_vms().saturating_sub(1);
         println!(
-            "{} routes, {copy} bytes whole: told by the holder {told} bytes; {turned} readers \
-             follow the store afterwards",
+            "{} routes, {copy_size} bytes whole: the mandate holder sent {holder_bytes} bytes; \
+             {watching_subscribers} subscribers watch the store afterwards",
             routes.len()
         );
-        let worst = [(first, 0), (second, 1)].map(|(start, index)| {
-            let delays = delays(start, seen.iter().map(|seen| seen[index]));
-            let (median, worst) = (delays[delays.len() / 2], delays[delays.len() - 1]);
-            let version = versions[index];
-            println!(
-                "  version {version} in force after {median:.2?} (median), {worst:.2?} (last)"
+        let worst = [(routes_declared_at, 0), (weights_declared_at, 1)].map(|(start, index)| {
+            let activation_delays =
+                activation_delays(start, activation_times.iter().map(|times| times[index]));
+            let (median, worst) = (
+                activation_delays[activation_delays.len() / 2],
+                activation_delays[activation_delays.len() - 1],
             );
+            let version = versions[index];
+            println!("  version {version} active after {median:.2?} (median), {worst:.2?} (last)");
             worst
         });
-        ChangeOutcome { worst, turned }
+        ChangeOutcome { worst, watching_subscribers }
     }
 
     #[test]
     fn large_declarations_are_in_force_on_every_vm_in_time_over_slow_links() {
-        let _alone = alone();
+        let _exclusive = exclusive_lock();
         let worst: Vec<_> = large_changes().iter().flat_map(|change| change.worst).collect();
-        assert!(worst.iter().all(|worst| *worst <= IN_FORCE), "in force too late: {worst:?}");
+        assert!(
+            worst.iter().all(|worst| *worst <= MAX_ACTIVATION_DELAY),
+            "active too late: {worst:?}"
+        );
     }
 
-    /// The store in memory answers at once and costs no link, so it hides much of the lateness.
+    /// The in-memory store responds at once and without a link, which hides much of the delay.
     #[test]
-    fn large_declarations_leave_every_vm_its_source() {
-        let _alone = alone();
-        let turned: Vec<_> = large_changes().iter().map(|change| change.turned).collect();
-        assert_eq!(turned, [0; 3], "readers that turned to the store");
+    fn subscribers_keep_their_upstream_during_large_declarations() {
+        let _exclusive = exclusive_lock();
+        let watching_subscribers: Vec<_> =
+            large_changes().iter().map(|change| change.watching_subscribers).collect();
+        assert_eq!(watching_subscribers, [0; 3], "subscribers that watch the store");
     }
 
     #[test]
     fn a_small_change_costs_bytes_in_proportion() {
-        /// Bytes a reader that one route's weights may cost, with all else told meanwhile.
-        const MOST_BYTES: u64 = 16 * 1024;
-        const FEW_READERS: usize = 5;
-        let _alone = alone();
+        /// Maximum cost of a change of one route's weights, including other updates meanwhile.
+        const MAX_BYTES_PER_SUBSCRIBER: u64 = 16 * 1024;
+        const FEW_SUBSCRIBERS: usize = 5;
+        let _exclusive = exclusive_lock();
         let store = MemoryStore::default();
         let mut routes = random_routes(1_500);
         store.declare(declared(1, &routes));
-        let vms = fleet(FEW_READERS, LINK_RATE, &store);
-        vms.iter().for_each(|vm| vm.wait_for(1));
-        rest(&store);
+        let vms = start_fleet(FEW_SUBSCRIBERS, LINK_BYTES_PER_SECOND, &store);
+        vms.iter().for_each(|vm| vm.wait_for_version(1));
+        wait_until_settled(&store);
         let calls = || -> Vec<u64> {
             vms[1..].iter().map(|vm| store.declaration_calls(&vm.name)).collect()
         };
         let (bytes_before, calls_before) = (vms[0].link.bytes(), calls());
         store.declare(reweighted(2, &mut routes));
-        vms.iter().for_each(|vm| vm.wait_for(2));
-        let each = (vms[0].link.bytes() - bytes_before) / FEW_READERS as u64;
-        println!("bytes a reader: {each}, whole: {}", copy_bytes(&declared(2, &routes)));
-        assert_eq!(calls(), calls_before, "readers hear of it from the holder");
-        assert!(each < MOST_BYTES, "{each} bytes a reader for one weight");
+        vms.iter().for_each(|vm| vm.wait_for_version(2));
+        let bytes_per_subscriber = (vms[0].link.bytes() - bytes_before) / FEW_SUBSCRIBERS as u64;
+        println!(
+            "bytes per subscriber: {bytes_per_subscriber}, whole: {}",
+            encoded_bytes(&declared(2, &routes))
+        );
+        assert_eq!(calls(), calls_before, "subscribers read the change from the store");
+        assert!(
+            bytes_per_subscriber < MAX_BYTES_PER_SUBSCRIBER,
+            "{bytes_per_subscriber} bytes per subscriber for one weight"
+        );
     }
 
     #[test]
-    fn a_copy_that_arrives_slowly_is_not_given_up() {
-        let _alone = alone();
+    fn a_copy_that_arrives_slowly_is_not_requested_again() {
+        let _exclusive = exclusive_lock();
         let store = MemoryStore::default();
-        let routes = random_routes(MOST_ROUTES);
+        let routes = random_routes(MAX_ROUTES);
         store.declare(declared(1, &routes));
-        let copy = Packed::pack(&declared(1, &routes)).unwrap().len() as u64;
-        // What does not arrive in time would be read from the store, which tells nothing of the copy.
+        let copy_size = Packed::pack(&declared(1, &routes)).unwrap().len() as u64;
+        // Withhold declarations of the store, so that the subscriber depends on the copy of its
+        // upstream.
         store.set_withheld("vm-1", StoreObject::Declarations, true);
-        let vms = fleet(1, SLOW_RATE, &store);
-        let (holder, reader) = (&vms[0], &vms[1]);
+        let vms = start_fleet(1, SLOW_LINK_BYTES_PER_SECOND, &store);
+        let (holder, subscriber) = (&vms[0], &vms[1]);
         let started = Instant::now();
-        reader.wait_for(1);
-        let took = started.elapsed();
+        subscriber.wait_for_version(1);
+        let delay = started.elapsed();
         let (bytes, connections) = (holder.link.bytes(), holder.link.connections());
         println!(
-            "in force after {took:.2?}; {copy} bytes packed, {bytes} carried over {connections} \
+            "active after {delay:.2?}; {copy_size} bytes packed, {bytes} sent over {connections} \
              connections"
         );
         assert_eq!(
             connections, 2,
-            "one for news, one for declarations: a source is asked anew over new ones"
+            "one for updates, one for declarations; a repeated request opens new ones"
         );
-        assert!(bytes < copy + copy / 2, "{bytes} bytes for a copy of {copy}");
+        assert!(bytes < copy_size + copy_size / 2, "{bytes} bytes for a copy of {copy_size}");
     }
 }
