--- a/crates/nickellead_gateway/src/packed.rs
+++ b/crates/nickellead_gateway/src/packed.rs
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 use miniz_oxide::deflate::compress_to_vec_zlib;
 use miniz_oxide::inflate::{TINFLStatus, decompress_to_vec_zlib_with_limit};
-use nickellead_peer::{FRAME_LIMIT, PeerError};
+use nickellead_peer::{MAX_MESSAGE_BYTES, PeerError};
 use thiserror::Error;
 
 /// Most bytes that a packed message may unpack to, which is the limit of an uncompressed frame.
-pub const MAX_UNPACKED_BYTES: usize = FRAME_LIMIT;
+pub const MAX_UNPACKED_BYTES: usize = MAX_MESSAGE_BYTES;
 
 /// Compression level from 0 to 10: a compromise between CPU time on the sender and transfer time on
 /// slow links.
--- a/crates/nickellead_peer/src/client.rs
+++ b/crates/nickellead_peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Sending messages to one VM.
+//! Client that sends messages to one VM.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -12,38 +12,36 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::codec::{FRAME_LIMIT, PeerError, decode, encode};
+use crate::codec::{MAX_MESSAGE_BYTES, PeerError, decode, encode};
 use crate::message::{PeerReply, PeerRequest};
 
-/// How long a connection may take: a way of 55 ms there and back, and some more.
+/// Maximum time to open a connection.
 ///
-/// A machine without power says nothing, and the system asks it again only after a second: a VM that
-/// starts before the one that it follows would lose that time.
+/// Below the system's first SYN retransmission after one second, so that connecting to a machine
+/// that does not respond is retried earlier.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Flow-control windows, in bytes: what one answer may put on a link ahead of the others.
+/// Flow-control windows: the bytes of one response that may be queued on a link ahead of others.
+pub(crate) const WINDOW_BYTES: u32 = 16 * 1024;
+/// Maximum time between two chunks of a message.
 ///
-/// It takes 13 ms on a link of 10 Mbit/s, and lets a reader on a way of 12 ms have 0.7 MB a second.
-pub(crate) const WINDOW: u32 = 16 * 1024;
-/// Longest time between two parts of a message.
-///
-/// A copy that goes on arriving, however slowly, is better waited for than begun anew: with
-/// [`WINDOW`], half of which is acknowledged at a time, this bears links down to 8 KB a second.
-pub(crate) const STALL_TIME: Duration = Duration::from_secs(1);
+/// The total time has no limit, because a restarted transfer takes longer than a slow one. Half of
+/// [`WINDOW_BYTES`] is acknowledged at a time, so links must carry at least that much in this time.
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far the last exchange came, also one that failed.
+/// Progress of the last exchange, including a failed one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExchangeProgress {
-    /// From the question until the answer began, or was given up.
+    /// Time from the request until the response began or the exchange failed.
     pub time_to_response: Duration,
-    /// From the answer's beginning until its last bytes that came.
+    /// Time from the beginning of the response until the last bytes that arrived.
     pub transfer_time: Duration,
-    /// Bytes of the answer that came.
+    /// Bytes of the response that arrived.
     pub bytes: usize,
 }
 
-/// One connection to one VM, made when first needed and again after a failure.
+/// Client of one VM, with one connection that is opened on demand and reopened after a failure.
 ///
-/// `Q` is what it sends and `R` what it gets back.
+/// `Q` is the type of requests and `R` the type of responses.
 #[derive(Debug)]
 pub struct PeerClient<Q = PeerRequest, R = PeerReply> {
     address: SocketAddr,
@@ -54,7 +52,7 @@
 }
 
 impl<Q: Encode, R: Decode<()>> PeerClient<Q, R> {
-    /// A client of the VM at `address`; `path` names the protocol and its version.
+    /// Creates a client of the VM at `address`; `path` identifies the protocol and its version.
     #[must_use]
     pub const fn new(address: SocketAddr, path: &'static str) -> Self {
         Self {
@@ -70,43 +68,42 @@
         }
     }
 
-    /// Where the VM listens.
+    /// Address on which the VM listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How far the last call came.
+    /// Progress of the last call, including a failed one.
     #[must_use]
     pub const fn progress(&self) -> ExchangeProgress {
         self.progress
     }
 
-    /// Sends a message and waits for the answer: `limit` at most until it begins, and then for as
-    /// long as parts of it come.
+    /// Sends a request and receives the response; `limit` bounds the time until the response begins.
     ///
     /// # Errors
-    /// A [`PeerError`]; the connection is then made anew by the next call.
+    /// A [`PeerError`]; the next call then opens a new connection.
     pub async fn call(&mut self, message: &Q, limit: Duration) -> Result<R, PeerError> {
         self.progress = ExchangeProgress::default();
-        let asked = Instant::now();
-        let begun = match timeout(limit, self.ask(message)).await {
-            Ok(begun) => begun,
+        let started = Instant::now();
+        let response = match timeout(limit, self.send_request(message)).await {
+            Ok(response) => response,
             Err(_) => Err(PeerError::Timeout),
         };
-        self.progress.time_to_response = asked.elapsed();
-        let answer = match begun {
-            Ok(body) => self.take_answer(body).await,
+        self.progress.time_to_response = started.elapsed();
+        let result = match response {
+            Ok(body) => self.receive_response(body).await,
             Err(error) => Err(error),
         };
-        if answer.is_err() {
+        if result.is_err() {
             self.connection = None;
         }
-        answer
+        result
     }
 
-    /// Sends a message; gives the answer's body once it begins.
-    async fn ask(&mut self, message: &Q) -> Result<RecvStream, PeerError> {
+    /// Sends a request and returns the body of the response once it begins.
+    async fn send_request(&mut self, message: &Q) -> Result<RecvStream, PeerError> {
         let body = encode(message)?;
         let sender = self.connect().await?;
         let mut sender = sender.ready().await.map_err(connection_error)?;
@@ -123,12 +120,12 @@
         }
     }
 
-    async fn take_answer(&mut self, body: RecvStream) -> Result<R, PeerError> {
-        let began = Instant::now();
+    async fn receive_response(&mut self, body: RecvStream) -> Result<R, PeerError> {
+        let started = Instant::now();
         let progress = &mut self.progress;
         let body = read_body(body, |bytes| {
             progress.bytes += bytes;
-            progress.transfer_time = began.elapsed();
+            progress.transfer_time = started.elapsed();
         });
         decode(&body.await?)
     }
@@ -143,13 +140,13 @@
         };
         stream.set_nodelay(true).map_err(connection_error)?;
         let (sender, connection) = h2::client::Builder::new()
-            .initial_window_size(WINDOW)
-            .initial_connection_window_size(WINDOW)
+            .initial_window_size(WINDOW_BYTES)
+            .initial_connection_window_size(WINDOW_BYTES)
             .handshake::<_, Bytes>(stream)
             .await
             .map_err(connection_error)?;
         actix_rt::spawn(async move {
-            // Errors of the connection reach the calls that use it.
+            // The calls that use the connection report its errors.
             let _ = connection.await;
         });
         self.connection = Some(sender.clone());
@@ -157,24 +154,27 @@
     }
 }
 
-/// Reads a body whole, within [`FRAME_LIMIT`] and for as long as parts come within [`STALL_TIME`];
-/// tells `note` the size of each.
+/// Reads a whole body of at most [`MAX_MESSAGE_BYTES`], with at most [`STALL_TIMEOUT`] between two chunks.
+///
+/// Calls `on_chunk` with the size of each chunk.
 pub(crate) async fn read_body(
     mut body: RecvStream,
-    mut note: impl FnMut(usize),
+    mut on_chunk: impl FnMut(usize),
 ) -> Result<Bytes, PeerError> {
-    let mut whole = BytesMut::new();
-    while let Some(part) = timeout(STALL_TIME, body.data()).await.map_err(|_| PeerError::Timeout)? {
-        let part = part.map_err(connection_error)?;
-        note(part.len());
-        if whole.len() + part.len() > FRAME_LIMIT {
+    let mut message = BytesMut::new();
+    while let Some(chunk) =
+        timeout(STALL_TIMEOUT, body.data()).await.map_err(|_| PeerError::Timeout)?
+    {
+        let chunk = chunk.map_err(connection_error)?;
+        on_chunk(chunk.len());
+        if message.len() + chunk.len() > MAX_MESSAGE_BYTES {
             return Err(PeerError::TooLarge);
         }
-        // A failed release only means that the stream is over.
-        let _ = body.flow_control().release_capacity(part.len());
-        whole.extend_from_slice(&part);
+        // Releasing capacity only fails if the stream has ended.
+        let _ = body.flow_control().release_capacity(chunk.len());
+        message.extend_from_slice(&chunk);
     }
-    Ok(whole.freeze())
+    Ok(message.freeze())
 }
 
 pub(crate) fn connection_error(error: impl std::fmt::Display) -> PeerError {
--- a/crates/nickellead_peer/src/codec.rs
+++ b/crates/nickellead_peer/src/codec.rs
@@ -1,53 +1,53 @@
-//! Bytes of a message.
+//! Encoding and decoding of messages.
 
 use bincode::config::{Configuration, Limit, LittleEndian, Varint};
 use bincode::{Decode, Encode};
 use thiserror::Error;
 
-/// Largest message, in bytes.
-pub const FRAME_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum size of an encoded message.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a message could not be exchanged.
+/// Error of an exchange with another VM.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No connection, or it broke.
+    /// The connection could not be opened or was lost.
     #[error("connection to the VM failed: {0}")]
     Connection(String),
-    /// The message is larger than [`FRAME_LIMIT`].
-    #[error("message is larger than {FRAME_LIMIT} bytes")]
+    /// The message is larger than [`MAX_MESSAGE_BYTES`].
+    #[error("message is larger than {MAX_MESSAGE_BYTES} bytes")]
     TooLarge,
-    /// The bytes are no message of this protocol version.
-    #[error("message can't be read: {0}")]
+    /// The bytes are not a message of this protocol version.
+    #[error("malformed message: {0}")]
     Malformed(String),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The other VM did not respond in time.
+    #[error("response timed out")]
     Timeout,
 }
 
-const fn config() -> Configuration<LittleEndian, Varint, Limit<FRAME_LIMIT>> {
-    bincode::config::standard().with_limit::<FRAME_LIMIT>()
+const fn config() -> Configuration<LittleEndian, Varint, Limit<MAX_MESSAGE_BYTES>> {
+    bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>()
 }
 
-/// Bytes of a message.
+/// Encodes a message.
 ///
 /// # Errors
-/// [`PeerError::TooLarge`] when it exceeds the limit.
+/// [`PeerError::TooLarge`] when the result exceeds [`MAX_MESSAGE_BYTES`].
 pub fn encode<T: Encode>(message: &T) -> Result<Vec<u8>, PeerError> {
     let bytes = bincode::encode_to_vec(message, config())
         .map_err(|error| PeerError::Malformed(error.to_string()))?;
-    if bytes.len() > FRAME_LIMIT { Err(PeerError::TooLarge) } else { Ok(bytes) }
+    if bytes.len() > MAX_MESSAGE_BYTES { Err(PeerError::TooLarge) } else { Ok(bytes) }
 }
 
-/// The message of these bytes, all of which must be used.
+/// Decodes a message that takes up all of `bytes`.
 ///
 /// # Errors
-/// [`PeerError::Malformed`] when they are no such message.
+/// [`PeerError::Malformed`] when the bytes are not such a message.
 pub fn decode<T: Decode<()>>(bytes: &[u8]) -> Result<T, PeerError> {
     let (message, used) = bincode::decode_from_slice(bytes, config())
         .map_err(|error| PeerError::Malformed(error.to_string()))?;
     if used == bytes.len() {
         Ok(message)
     } else {
-        Err(PeerError::Malformed(format!("{} bytes too many", bytes.len() - used)))
+        Err(PeerError::Malformed(format!("{} trailing bytes", bytes.len() - used)))
     }
 }
--- a/crates/nickellead_peer/src/config_change.rs
+++ b/crates/nickellead_peer/src/config_change.rs
@@ -1,4 +1,4 @@
-//! What changed from one content of declared objects to another.
+//! Differences between two states of the declared objects.
 
 use std::collections::BTreeMap;
 
@@ -6,37 +6,37 @@
 use nickellead_api::{DeclaredConfig, DeclaredService, DeclaredTarget};
 use nickellead_core::{Name, Version};
 
-use crate::content::{ChangeError, DeclaredState, digest_of};
+use crate::declared_state::{ChangeError, DeclaredState, digest_of};
 
-/// What names the content of declared objects; costs a pass over all of them.
+/// Version and digest of the declared objects; takes time linear in their size.
 #[must_use]
 pub fn config_state(config: &DeclaredConfig) -> DeclaredState {
     let digest = digest_of(&(&config.services, &config.targets));
     DeclaredState { version: config.revision.0, digest }
 }
 
-/// What changed in a list of objects of one kind.
+/// Difference between two lists of objects of one kind.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ListChange<T> {
-    /// Names of objects that are no longer declared.
+    /// Names of the removed objects.
     pub removed: Vec<Name>,
-    /// Objects that are new or differ from the one of the same name.
+    /// Objects that were added or changed.
     pub set: Vec<T>,
 }
 
 impl<T: Clone + PartialEq> ListChange<T> {
     fn between(old: &[T], new: &[T], name: fn(&T) -> &Name) -> Self {
-        let known = by_name(old, name);
-        let wanted = by_name(new, name);
-        let removed = known.keys().filter(|name| !wanted.contains_key(*name));
-        let set = wanted.iter().filter(|(name, item)| known.get(*name) != Some(item));
+        let old = by_name(old, name);
+        let new = by_name(new, name);
+        let removed = old.keys().filter(|name| !new.contains_key(*name));
+        let set = new.iter().filter(|(name, item)| old.get(*name) != Some(item));
         Self {
             removed: removed.map(|name| (*name).clone()).collect(),
             set: set.map(|(_, item)| (*item).clone()).collect(),
         }
     }
 
-    /// The list after the change, in order of names.
+    /// Returns the changed list, in order of names.
     fn applied_to(&self, old: Vec<T>, name: fn(&T) -> &Name) -> Vec<T> {
         let mut items: BTreeMap<Name, T> =
             old.into_iter().map(|item| (name(&item).clone(), item)).collect();
@@ -66,29 +66,29 @@
     &target.name
 }
 
-/// What changed from one content of declared objects to another.
+/// Difference between two states of the declared objects.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigChange {
-    /// The content that it changes.
+    /// State that the change applies to.
     pub from: DeclaredState,
-    /// The content that results.
+    /// State after the change.
     pub to: DeclaredState,
-    /// What changed in the services.
+    /// Changes of services.
     pub services: ListChange<DeclaredService>,
-    /// What changed in the targets.
+    /// Changes of targets.
     pub targets: ListChange<DeclaredTarget>,
 }
 
 impl ConfigChange {
-    /// The change from `old` to `new`, of which [`ConfigChange::apply`] makes exactly `new`.
+    /// Computes the change from `old` to `new`; [`ConfigChange::apply`] on `old` returns exactly `new`.
     ///
-    /// `None` when there is none, because objects of `new` are not in order of unique names.
+    /// `None` when the objects of `new` are not sorted by unique names.
     #[must_use]
     pub fn between(old: &DeclaredConfig, new: &DeclaredConfig) -> Option<Self> {
         Self::between_states(old, config_state(old), new)
     }
 
-    /// The same, with the state of `old` as the caller knows it.
+    /// As [`ConfigChange::between`], with the state of `old` given as `from`.
     pub(crate) fn between_states(
         old: &DeclaredConfig,
         from: DeclaredState,
@@ -103,16 +103,16 @@
         change.applied_to(old.clone()).ok().map(|_| change)
     }
 
-    /// The declared objects after the change.
+    /// Returns the declared objects after the change.
     ///
     /// # Errors
-    /// [`ChangeError`] when the change is from another content or leads to a wrong one.
+    /// [`ChangeError`] when the change is from another state or leads to another state than `to`.
     pub fn apply(&self, old: &DeclaredConfig) -> Result<DeclaredConfig, ChangeError> {
         ChangeError::check_base(self.from, config_state(old))?;
         self.applied_to(old.clone())
     }
 
-    /// Changes objects whose state was checked by the caller.
+    /// Applies the change to objects in the state `from`, which the caller has checked.
     pub(crate) fn applied_to(&self, old: DeclaredConfig) -> Result<DeclaredConfig, ChangeError> {
         let config = DeclaredConfig {
             revision: Version(self.to.version),
@@ -123,7 +123,7 @@
         Ok(config)
     }
 
-    /// Number of objects named: how much it takes to tell the change.
+    /// Number of changed and removed objects, as a measure of the change's size.
     #[must_use]
     pub fn object_count(&self) -> usize {
         self.services.object_count() + self.targets.object_count()
--- a/crates/nickellead_peer/src/config_history.rs
+++ b/crates/nickellead_peer/src/config_history.rs
@@ -1,4 +1,4 @@
-//! The newest declared objects, and the last changes that led to them.
+//! The newest declared objects and the latest changes that led to them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,68 +8,69 @@
 use thiserror::Error;
 
 use crate::config_change::{ConfigChange, config_state};
-use crate::content::{ChangeError, DeclaredState};
+use crate::declared_state::{ChangeError, DeclaredState};
 
-/// Most changes kept for followers: one that lacks more was away, and is told all objects. A
-/// follower asks again as soon as it was answered, and each change costs it a digest of all objects.
+/// Maximum number of changes that are kept for followers; a follower that misses more gets all objects.
+///
+/// Followers compute a digest of all objects for each change, so many changes cost more than the whole.
 pub const MAX_CONFIG_CHANGES: usize = 32;
 
-/// What one VM tells another of the declared objects.
+/// Update of the declared objects that one VM sends to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConfigUpdate {
-    /// The changes since a content that the other VM knows, oldest first.
+    /// Changes since a state that the other VM has, oldest first.
     Changes(Vec<Arc<ConfigChange>>),
     /// All objects.
     Whole(Arc<DeclaredConfig>),
 }
 
-/// Why news can't be taken; what was known stays in force.
+/// Error of an update; the previous objects stay active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigUpdateError {
-    /// There are only changes, and nothing is known that they could change.
-    #[error("changes of declared objects, of which none are known")]
+    /// The update has only changes, and there are no objects to apply them to.
+    #[error("changes received before any declared objects")]
     NoBase,
-    /// A change does not follow what was known or told before it.
+    /// A change does not apply to the state before it, or leads to an unexpected state.
     #[error(transparent)]
     Change(#[from] ChangeError),
 }
 
-/// Declared objects with what names their content.
+/// Declared objects with their version and digest.
 #[derive(Clone, Debug)]
 struct KnownConfig {
     state: DeclaredState,
     config: Arc<DeclaredConfig>,
 }
 
-/// The newest declared objects that a VM knows, and the last changes that led to them.
+/// The newest declared objects that a VM knows, and the latest changes that led to them.
 ///
-/// It never goes back to an older revision. The changes kept are contiguous and lead to the newest
-/// content; together they name no more objects than that content has.
+/// The revision never decreases. The kept changes are contiguous, end at the newest state, and
+/// contain no more objects in total than that state has.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
     newest: Option<KnownConfig>,
     changes: VecDeque<Arc<ConfigChange>>,
-    /// Whether changes that were told could not be taken, so that all objects are needed.
-    doubted: bool,
+    /// Whether an update failed, so that the next one must contain all objects.
+    needs_whole: bool,
 }
 
 impl ConfigHistory {
-    /// The newest declared objects.
+    /// Newest declared objects; `None` before the first update.
     #[must_use]
     pub fn newest(&self) -> Option<&Arc<DeclaredConfig>> {
         self.newest.as_ref().map(|known| &known.config)
     }
 
-    /// The content from which changes can be taken; none when all objects are needed.
+    /// State to which changes can be applied; `None` when all objects are needed.
     #[must_use]
     pub fn state(&self) -> Option<DeclaredState> {
-        let sure = self.newest.as_ref().filter(|_| !self.doubted);
-        sure.map(|known| known.state)
+        let base = self.newest.as_ref().filter(|_| !self.needs_whole);
+        base.map(|known| known.state)
     }
 
-    /// Takes all objects, unless their revision is not newer; tells whether they are the newest now.
+    /// Replaces all objects if their revision is newer; returns whether they were replaced.
     pub fn apply_whole(&mut self, config: Arc<DeclaredConfig>) -> bool {
-        self.doubted = false;
+        self.needs_whole = false;
         let known = self.newest.as_ref();
         if known.is_some_and(|known| config.revision <= known.config.revision) {
             return false;
@@ -81,28 +82,31 @@
             self.changes.clear();
         }
         self.changes.extend(change.map(Arc::new));
-        self.put_newest(KnownConfig { state, config });
+        self.set_newest(KnownConfig { state, config });
         true
     }
 
-    /// Takes what another VM told; tells whether newer objects came of it.
+    /// Applies an update of another VM; returns whether the objects changed.
     ///
     /// # Errors
-    /// [`ConfigUpdateError`]; nothing is taken then, and [`ConfigHistory::state`] is none until all
-    /// objects are told.
-    pub fn apply_update(&mut self, news: ConfigUpdate) -> Result<bool, ConfigUpdateError> {
-        match news {
+    /// [`ConfigUpdateError`]; the objects are unchanged then, and [`ConfigHistory::state`] returns
+    /// `None` until an update with all objects arrives.
+    pub fn apply_update(&mut self, update: ConfigUpdate) -> Result<bool, ConfigUpdateError> {
+        match update {
             ConfigUpdate::Whole(config) => Ok(self.apply_whole(config)),
             ConfigUpdate::Changes(changes) => {
-                let taken = self.take_changes(changes);
-                self.doubted |= taken.is_err();
-                taken
+                let applied = self.apply_newer_changes(changes);
+                self.needs_whole |= applied.is_err();
+                applied
             }
         }
     }
 
-    /// Takes changes, of which those that the known content is past are ignored.
-    fn take_changes(&mut self, changes: Vec<Arc<ConfigChange>>) -> Result<bool, ConfigUpdateError> {
+    /// Applies changes, skipping those that lead up to the known state.
+    fn apply_newer_changes(
+        &mut self,
+        changes: Vec<Arc<ConfigChange>>,
+    ) -> Result<bool, ConfigUpdateError> {
         let known = self.newest.as_ref().ok_or(ConfigUpdateError::NoBase)?;
         let version = known.state.version;
         if changes.last().is_none_or(|last| last.to.version <= version) {
@@ -111,11 +115,11 @@
         let start = changes.iter().position(|change| change.from == known.state).unwrap_or(0);
         let new = apply_changes(known, &changes[start..])?;
         self.changes.extend(changes.into_iter().skip(start));
-        self.put_newest(new);
+        self.set_newest(new);
         Ok(true)
     }
 
-    /// What is new for a follower that knows this content, or none; `None` when nothing is.
+    /// Update for a follower in the given state, if it has any; `None` when the follower is current.
     #[must_use]
     pub fn since(&self, known: Option<DeclaredState>) -> Option<ConfigUpdate> {
         let newest = self.newest.as_ref()?;
@@ -131,18 +135,18 @@
         Some(ConfigUpdate::Changes(self.changes.range(start..).cloned().collect()))
     }
 
-    fn put_newest(&mut self, new: KnownConfig) {
-        let most = new.config.services.len() + new.config.targets.len();
+    fn set_newest(&mut self, new: KnownConfig) {
+        let max_objects = new.config.services.len() + new.config.targets.len();
         self.newest = Some(new);
-        let mut named: usize = self.changes.iter().map(|change| change.object_count()).sum();
-        while self.changes.len() > MAX_CONFIG_CHANGES || named > most {
+        let mut objects: usize = self.changes.iter().map(|change| change.object_count()).sum();
+        while self.changes.len() > MAX_CONFIG_CHANGES || objects > max_objects {
             let Some(oldest) = self.changes.pop_front() else { break };
-            named -= oldest.object_count();
+            objects -= oldest.object_count();
         }
     }
 }
 
-/// Copies the objects known once and changes the copy change by change.
+/// Copies the known objects once and applies all changes to the copy.
 fn apply_changes(
     known: &KnownConfig,
     changes: &[Arc<ConfigChange>],
--- a/crates/nickellead_peer/src/content.rs
+++ b/crates/nickellead_peer/src/declared_state.rs
@@ -1,4 +1,4 @@
-//! What names one content of declarations, so that a wrong result of a change is noticed.
+//! Version and digest of declarations, which detect changes with a wrong result.
 
 use std::fmt;
 
@@ -8,12 +8,12 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Names one content of declarations, so that two VMs can compare theirs.
+/// Identifies one state of the declarations, so that two VMs can compare theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DeclaredState {
     /// Version of the declarations.
     pub version: u64,
-    /// XXH3-64 of everything but the version.
+    /// XXH3-64 of the declarations without their version.
     pub digest: u64,
 }
 
@@ -23,49 +23,49 @@
     }
 }
 
-/// Why a change can't be applied.
+/// Error of applying a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It changes another content than the one known.
-    #[error("change is from {needed}, not from {known}")]
+    /// The change applies to another state than the known one.
+    #[error("change applies to {needed}, but the known state is {known}")]
     WrongBase {
-        /// The content that it changes.
+        /// State that the change applies to.
         needed: DeclaredState,
-        /// The content that is known.
+        /// Known state.
         known: DeclaredState,
     },
-    /// It does not lead to the content that it names.
-    #[error("change led to {reached} instead of {promised}")]
+    /// The change leads to another state than it declares.
+    #[error("change led to {actual} instead of {expected}")]
     WrongResult {
-        /// The content that it names.
-        promised: DeclaredState,
-        /// The content that it led to.
-        reached: DeclaredState,
+        /// State that the change declares as its result.
+        expected: DeclaredState,
+        /// State that applying it led to.
+        actual: DeclaredState,
     },
 }
 
 impl ChangeError {
-    /// Checks that a change is from the content known.
+    /// Checks that a change applies to the known state.
     ///
     /// # Errors
-    /// [`ChangeError::WrongBase`] when it is not.
+    /// [`ChangeError::WrongBase`] when it does not.
     pub fn check_base(needed: DeclaredState, known: DeclaredState) -> Result<(), Self> {
         if needed == known { Ok(()) } else { Err(Self::WrongBase { needed, known }) }
     }
 
-    /// Checks that a change led to the content that it names.
+    /// Checks that a change led to the state that it declares.
     ///
     /// # Errors
     /// [`ChangeError::WrongResult`] when it did not.
-    pub fn check_result(promised: DeclaredState, reached: DeclaredState) -> Result<(), Self> {
-        if promised == reached { Ok(()) } else { Err(Self::WrongResult { promised, reached }) }
+    pub fn check_result(expected: DeclaredState, actual: DeclaredState) -> Result<(), Self> {
+        if expected == actual { Ok(()) } else { Err(Self::WrongResult { expected, actual }) }
     }
 }
 
-/// Digest of a message's bincode bytes, of which no copy is made.
+/// Computes the digest of a message's bincode encoding without buffering it.
 ///
 /// # Panics
-/// Never: the writer takes all bytes, and numbers, strings and collections of them always encode.
+/// Never: the writer accepts all bytes, and numbers, strings and collections of them always encode.
 #[allow(clippy::expect_used)]
 #[must_use]
 pub fn digest_of<T: Encode>(message: &T) -> u64 {
@@ -75,7 +75,7 @@
     writer.0.digest()
 }
 
-/// Takes bytes into a digest.
+/// Adds the written bytes to a digest.
 struct DigestWriter(Xxh3);
 
 impl Writer for DigestWriter {
--- a/crates/nickellead_peer/src/lib.rs
+++ b/crates/nickellead_peer/src/lib.rs
@@ -1,22 +1,22 @@
-//! Messages between VMs: h2 streams with bincode bodies.
+//! Messages between VMs, encoded with bincode and sent over h2.
 //!
-//! One message is one h2 stream: a POST with a [`PeerRequest`], answered by a
-//! [`PeerReply`], or by other messages under a path of their own. The path carries the protocol's
-//! version.
+//! Each exchange is one h2 stream: a POST with a [`PeerRequest`] and a response with a
+//! [`PeerReply`]. Other pairs of messages use paths of their own. The path contains the version of
+//! the protocol.
 
 mod client;
 mod codec;
 mod config_change;
 mod config_history;
-mod content;
+mod declared_state;
 mod message;
 mod server;
 
 pub use client::{ExchangeProgress, PeerClient};
-pub use codec::{FRAME_LIMIT, PeerError, decode, encode};
+pub use codec::{MAX_MESSAGE_BYTES, PeerError, decode, encode};
 pub use config_change::{ConfigChange, ListChange, config_state};
 pub use config_history::{ConfigHistory, ConfigUpdate, ConfigUpdateError, MAX_CONFIG_CHANGES};
-pub use content::{ChangeError, DeclaredState, digest_of};
+pub use declared_state::{ChangeError, DeclaredState, digest_of};
 pub use message::{
     FollowReply, FollowRequest, KnownZone, PEER_PATH, PeerReply, PeerRequest, PeerVm,
 };
--- a/crates/nickellead_peer/src/message.rs
+++ b/crates/nickellead_peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What VMs say to each other.
+//! Messages that VMs exchange.
 
 use std::net::SocketAddr;
 
@@ -7,85 +7,85 @@
 use nickellead_lease::{RecordBatch, RecordResponse, ZoneDelta};
 
 use crate::config_history::ConfigUpdate;
-use crate::content::DeclaredState;
+use crate::declared_state::DeclaredState;
 
-/// Path of these messages, which ends in the version of their protocol.
+/// Path of these messages, which ends with the version of the protocol.
 pub const PEER_PATH: &str = "/peer/2";
 
-/// A VM as others reach it.
+/// Identity and address of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PeerVm {
     /// Name of the VM.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for other VMs.
+    /// Address on which it listens for other VMs.
     pub address: SocketAddr,
-    /// The life of its process.
+    /// Run of the VM's process.
     pub incarnation: Incarnation,
 }
 
-/// What a follower knows of one zone.
+/// State of one zone that a follower knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KnownZone {
-    /// The zone.
+    /// Key of the zone.
     pub zone: ZoneKey,
-    /// Term known.
+    /// Newest known term.
     pub term: Term,
-    /// Version known.
+    /// Newest known version.
     pub version: Version,
 }
 
-/// "Tell me what I don't know; wait a little when there is nothing."
+/// Long poll for updates that the sender does not have yet.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FollowRequest {
-    /// Who asks.
+    /// Sender of the request.
     pub from: PeerVm,
-    /// What it knows of each zone.
+    /// State that the sender knows of each zone.
     pub zones: Vec<KnownZone>,
-    /// The content of the declarations from which it can take changes, if any.
+    /// State of the declarations to which the sender can apply changes, if any.
     pub config: Option<DeclaredState>,
-    /// How long the answer may be held back while there is nothing to tell.
+    /// Maximum time that the response may be delayed while there are no updates, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What a follower did not know.
+/// Updates for a follower.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct FollowReply {
-    /// Who answers.
+    /// Sender of the response.
     pub from: PeerVm,
-    /// Term of the coordinator of the answering VM's zone, as far as it knows.
+    /// Term of the coordinator of the responding VM's zone, as far as that VM knows.
     pub term: Term,
-    /// That coordinator, when it is known.
+    /// Coordinator of that zone, if known.
     pub coordinator: Option<PeerVm>,
-    /// Whether the mandate names the asking VM as a standby.
+    /// Whether the mandate (leader lease) lists the requesting VM as a standby.
     pub standby: bool,
-    /// Newer declarations.
+    /// Newer declarations, if any.
     pub config: Option<ConfigUpdate>,
     /// Changes by zone.
     pub zones: Vec<ZoneDelta>,
 }
 
-/// One message.
+/// Request of one VM to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerRequest {
-    /// Follow declarations and owners.
+    /// Polls for updates of declarations and owners.
     Follow(FollowRequest),
-    /// A detached coordinator asks a standby to keep new owners.
+    /// A detached coordinator asks a standby to record new owners.
     Record(RecordBatch),
-    /// A coordinator with this term asks the former one to step down.
+    /// A coordinator with this term asks the previous one to step down.
     StepDown(Term),
 }
 
-/// The answer to a message.
+/// Response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerReply {
-    /// Answer to [`PeerRequest::Follow`].
+    /// Response to [`PeerRequest::Follow`].
     Follow(Box<FollowReply>),
-    /// Answer to [`PeerRequest::Record`].
+    /// Response to [`PeerRequest::Record`].
     Record(RecordResponse),
-    /// Answer to [`PeerRequest::StepDown`]: the highest term known.
+    /// Response to [`PeerRequest::StepDown`] with the highest known term.
     SteppedDown(Term),
-    /// The VM is stopping or too busy.
+    /// The VM is stopping or overloaded.
     Refused,
 }
--- a/crates/nickellead_peer/src/server.rs
+++ b/crates/nickellead_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering messages of other VMs.
+//! Server that responds to messages of other VMs.
 
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -15,34 +15,32 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use crate::client::{STALL_TIME, WINDOW, connection_error, read_body};
+use crate::client::{STALL_TIMEOUT, WINDOW_BYTES, connection_error, read_body};
 use crate::codec::{PeerError, decode, encode};
 use crate::message::{PeerReply, PeerRequest};
 
-/// Most messages of one VM answered side by side.
-const STREAMS_MAX: u32 = 64;
-/// Answers above this size take turns, in bytes: those that a reader has to take in piece by piece.
-const LARGE_ANSWER: usize = WINDOW as usize;
-/// Large answers of one VM that are on their way side by side.
+/// Maximum number of concurrent requests on one connection.
+const MAX_STREAMS: u32 = 64;
+/// Responses above this size exceed the flow-control window and need a slot.
+const LARGE_RESPONSE_BYTES: usize = WINDOW_BYTES as usize;
+/// Maximum number of large responses that a VM sends concurrently.
 ///
-/// With their windows they put 64 KiB ahead of small answers and of new connections: 52 ms on a link
-/// of 10 Mbit/s, well below the limits of those who wait for these. All at once, fifteen changes of
-/// 1,400 routes would take 0.3 s. In turn they arrive earlier on the whole, and who has its copy can
-/// tell it on.
-const LARGE_AT_ONCE: usize = 4;
-/// A large answer that takes longer goes on without its turn: a reader behind a slow link must not hold
-/// back the others. Four answers of 30 KB take this long on a link of 10 Mbit/s.
-const TURN_TIME: Duration = Duration::from_millis(100);
-/// How long a handshake may take.
+/// Bounds the bytes that are queued on a link ahead of small responses and new connections. Sending
+/// fewer at a time also completes the first ones earlier, and their receivers can pass them on.
+const MAX_LARGE_RESPONSES: usize = 4;
+/// Maximum time that a large response occupies a slot; it then continues without one, so that
+/// receivers behind slow links do not block the others.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum duration of a handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What answers a message.
+/// Handler that computes the response to a request from the given address.
 pub type PeerHandler<Q = PeerRequest, R = PeerReply> =
     Rc<dyn Fn(Q, SocketAddr) -> Pin<Box<dyn Future<Output = R>>>>;
 
-/// Answers messages on a listener for as long as the thread's runtime runs.
+/// Responds to requests on a listener for as long as the thread's runtime runs.
 ///
-/// `path` names the protocol and its version: messages of others are refused.
+/// `path` identifies the protocol and its version; requests for other paths are refused.
 pub async fn serve_peers<Q, R>(
     listener: TcpListener,
     path: &'static str,
@@ -51,17 +49,17 @@
     Q: Decode<()> + 'static,
     R: Encode + 'static,
 {
-    let turns = Rc::new(Semaphore::new(LARGE_AT_ONCE));
+    let slots = Rc::new(Semaphore::new(MAX_LARGE_RESPONSES));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            // Out of descriptors or alike: give the others time to end.
+            // Typically out of file descriptors: wait until other connections close.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let (handler, turns) = (Rc::clone(&handler), Rc::clone(&turns));
+        let (handler, slots) = (Rc::clone(&handler), Rc::clone(&slots));
         actix_rt::spawn(async move {
-            // A broken connection is the other VM's to notice and mend.
-            let _ = serve_connection(stream, from, handler, turns, path).await;
+            // The other VM observes a lost connection and reconnects.
+            let _ = serve_connection(stream, from, handler, slots, path).await;
         });
     }
 }
@@ -70,7 +68,7 @@
     stream: TcpStream,
     from: SocketAddr,
     handler: PeerHandler<Q, R>,
-    turns: Rc<Semaphore>,
+    slots: Rc<Semaphore>,
     path: &'static str,
 ) -> Result<(), PeerError>
 where
@@ -80,9 +78,9 @@
     stream.set_nodelay(true).map_err(connection_error)?;
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(STREAMS_MAX)
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW);
+        .max_concurrent_streams(MAX_STREAMS)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES);
     let handshake = timeout(HANDSHAKE_TIMEOUT, builder.handshake::<_, Bytes>(stream)).await;
     let mut connection = match handshake {
         Ok(connection) => connection.map_err(connection_error)?,
@@ -94,10 +92,10 @@
             refuse(&mut respond, StatusCode::NOT_FOUND)?;
             continue;
         }
-        let (handler, turns) = (Rc::clone(&handler), Rc::clone(&turns));
+        let (handler, slots) = (Rc::clone(&handler), Rc::clone(&slots));
         actix_rt::spawn(async move {
-            // As above: the caller sees the stream end.
-            let _ = serve_message(request, respond, from, handler, turns).await;
+            // The other VM observes the end of the stream.
+            let _ = serve_message(request, respond, from, handler, slots).await;
         });
     }
     Ok(())
@@ -108,7 +106,7 @@
     mut respond: SendResponse<Bytes>,
     from: SocketAddr,
     handler: PeerHandler<Q, R>,
-    turns: Rc<Semaphore>,
+    slots: Rc<Semaphore>,
 ) -> Result<(), PeerError>
 where
     Q: Decode<()> + 'static,
@@ -119,41 +117,44 @@
         return refuse(&mut respond, StatusCode::BAD_REQUEST);
     };
     let reply = encode(&handler(message, from).await)?;
-    if reply.len() <= LARGE_ANSWER {
-        let mut stream = begin_answer(&mut respond)?;
+    if reply.len() <= LARGE_RESPONSE_BYTES {
+        let mut stream = begin_response(&mut respond)?;
         return stream.send_data(reply.into(), true).map_err(connection_error);
     }
-    // Turns are never taken away, so this can't fail.
-    let turn = turns.acquire().await.map_err(connection_error)?;
-    let sending = send_paced(begin_answer(&mut respond)?, reply.into());
+    // The semaphore is never closed, so this can't fail.
+    let slot = slots.acquire().await.map_err(connection_error)?;
+    let sending = send_paced(begin_response(&mut respond)?, reply.into());
     let mut sending = std::pin::pin!(sending);
-    if let Ok(sent) = timeout(TURN_TIME, &mut sending).await {
+    if let Ok(sent) = timeout(SLOT_TIMEOUT, &mut sending).await {
         return sent;
     }
-    drop(turn);
+    drop(slot);
     sending.await
 }
 
-fn begin_answer(respond: &mut SendResponse<Bytes>) -> Result<SendStream<Bytes>, PeerError> {
+fn begin_response(respond: &mut SendResponse<Bytes>) -> Result<SendStream<Bytes>, PeerError> {
     respond.send_response(Response::new(()), false).map_err(connection_error)
 }
 
-/// Sends a body no faster than its reader takes it in, for as long as it does.
+/// Sends a body as the receiver grants capacity; fails if none is granted for [`STALL_TIMEOUT`].
 async fn send_paced(mut stream: SendStream<Bytes>, mut body: Bytes) -> Result<(), PeerError> {
     while !body.is_empty() {
         stream.reserve_capacity(body.len());
-        let granted = timeout(STALL_TIME, poll_fn(|context| stream.poll_capacity(context))).await;
+        let granted =
+            timeout(STALL_TIMEOUT, poll_fn(|context| stream.poll_capacity(context))).await;
         let granted = match granted {
             Ok(Some(granted)) => granted.map_err(connection_error)?,
-            Ok(None) => return Err(PeerError::Connection("closed by the reader".to_owned())),
+            Ok(None) => {
+                return Err(PeerError::Connection("stream closed by the receiver".to_owned()));
+            }
             Err(_) => {
                 stream.send_reset(Reason::CANCEL);
                 return Err(PeerError::Timeout);
             }
         };
-        let part = body.split_to(granted.min(body.len()));
+        let chunk = body.split_to(granted.min(body.len()));
         let last = body.is_empty();
-        stream.send_data(part, last).map_err(connection_error)?;
+        stream.send_data(chunk, last).map_err(connection_error)?;
     }
     Ok(())
 }
