--- a/crates/nickellead_peer/src/server.rs
+++ b/crates/nickellead_peer/src/server.rs
@@ -144,9 +144,7 @@
             timeout(STALL_TIMEOUT, poll_fn(|context| stream.poll_capacity(context))).await;
         let granted = match granted {
             Ok(Some(granted)) => granted.map_err(connection_error)?,
-            Ok(None) => {
-                return Err(PeerError::Connection("stream closed by the receiver".to_owned()));
-            }
+            Ok(None) => return Err(PeerError::Connection("closed by the receiver".to_owned())),
             Err(_) => {
                 stream.send_reset(Reason::CANCEL);
                 return Err(PeerError::Timeout);
