--- a/crates/nickellead_peer/tests/decoding.rs
+++ b/crates/nickellead_peer/tests/decoding.rs
@@ -1,4 +1,4 @@
-//! Bytes from other VMs never panic and never take more memory than the limit.
+//! Decoding bytes from other VMs never panics and never allocates more than the limit.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_core::{Epoch, ServiceKey, ShardIndex, TargetKey, Term};
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn any_bytes_are_read_or_refused() {
-    // What can be read can be written again; what can't is an error, not a panic.
+fn arbitrary_bytes_are_decoded_or_rejected() {
+    // Whatever decodes can be encoded again; anything else is an error, not a panic.
     fn holds(bytes: Vec<u8>) -> bool {
         let request = decode::<PeerRequest>(&bytes);
         let reply = decode::<PeerReply>(&bytes);
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn a_message_with_flipped_or_missing_bytes_is_read_or_refused() {
-    fn holds(entries: u8, place: usize, flip: u8, cut: usize) -> bool {
+fn corrupt_messages_are_decoded_or_rejected() {
+    fn holds(entries: u8, index: usize, flip: u8, cut: usize) -> bool {
         let mut bytes = encode(&batch(u32::from(entries))).unwrap();
         let length = bytes.len();
-        bytes[place % length] ^= flip;
+        bytes[index % length] ^= flip;
         bytes.truncate(length - cut % length);
         let _ = decode::<PeerRequest>(&bytes);
         true
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were_and_extra_bytes_are_refused() {
+fn messages_round_trip_and_trailing_bytes_are_rejected() {
     let message = batch(50);
     let mut bytes = encode(&message).unwrap();
     assert_eq!(decode::<PeerRequest>(&bytes).unwrap(), message);
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_length_beyond_the_limit_is_refused_before_memory_is_taken() {
-    // Variant 1 (records), term, number, then a list that claims 2^60 entries.
+fn a_length_beyond_the_limit_is_rejected_before_allocation() {
+    // Variant 1 (Record), term, number, and a list with a declared length of 2^60 entries.
     let mut bytes = vec![1, 3, 9, 253];
     bytes.extend_from_slice(&(1_u64 << 60).to_le_bytes());
     assert!(decode::<PeerRequest>(&bytes).is_err());
--- a/crates/nickellead_peer/tests/slow_responses.rs
+++ b/crates/nickellead_peer/tests/slow_responses.rs
@@ -1,7 +1,7 @@
-//! Large answers over slow links: they are waited for while they arrive, and given up when they stop.
+//! Large responses over slow links.
 //!
-//! A whole copy on its way over a full link was given up after a fixed time and begun anew elsewhere,
-//! which kept the link full. Seen as the answer's bytes that had come when its time was over.
+//! Guards against a timeout on the whole response, which restarts large transfers over a congested link
+//! and keeps it congested.
 #![allow(clippy::unwrap_used)]
 
 use std::rc::Rc;
@@ -10,20 +10,20 @@
 use nickellead_peer::{PeerClient, PeerError, PeerHandler, serve_peers};
 use nickellead_soak::{FaultLink, LinkFault, LinkHost};
 
-/// Until an answer begins.
-const LIMIT: Duration = Duration::from_millis(400);
-/// A large answer, in bytes: some forty parts.
-const LARGE: u32 = 600_000;
-/// How much longer each part takes on a slow link, in milliseconds.
+/// Maximum time until a response begins.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Size of a large response, about forty chunks.
+const LARGE_RESPONSE_BYTES: u32 = 600_000;
+/// Delay of each chunk on a slow link, in milliseconds.
 const DELAY_MS: u64 = 50;
-/// Longest time that a silent answer may go unnoticed.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Maximum time until the client detects a stalled response.
+const MAX_STALL_DETECTION: Duration = Duration::from_millis(1_500);
 
 const PATH: &str = "/size/1";
 
 type SizeClient = PeerClient<u32, Vec<u8>>;
 
-/// Runs a test against a server that answers with as many bytes as it is asked for, behind a link.
+/// Runs a test against a server behind a link; it responds with the requested number of bytes.
 fn with_server<F: Future<Output = ()>>(test: impl FnOnce(FaultLink) -> F) {
     let host = LinkHost::start().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -39,65 +39,78 @@
 }
 
 #[test]
-fn an_answer_is_waited_for_as_long_as_it_arrives() {
+fn a_response_that_keeps_arriving_has_no_total_timeout() {
     with_server(|link| async move {
         link.set(LinkFault::Delay(DELAY_MS));
         let mut client = SizeClient::new(link.address, PATH);
-        let asked = Instant::now();
-        let answer = client.call(&LARGE, LIMIT).await.unwrap();
-        assert_eq!(answer.len(), LARGE as usize);
-        assert!(asked.elapsed() > 2 * LIMIT, "the link is not slow: {:?}", asked.elapsed());
+        let started = Instant::now();
+        let response = client.call(&LARGE_RESPONSE_BYTES, RESPONSE_TIMEOUT).await.unwrap();
+        assert_eq!(response.len(), LARGE_RESPONSE_BYTES as usize);
+        assert!(
+            started.elapsed() > 2 * RESPONSE_TIMEOUT,
+            "the link is not slow: {:?}",
+            started.elapsed()
+        );
     });
 }
 
 #[test]
-fn an_answer_that_stops_arriving_is_given_up_soon() {
+fn a_stalled_response_times_out() {
     with_server(|link| async move {
         link.set(LinkFault::Delay(DELAY_MS));
         let mut client = SizeClient::new(link.address, PATH);
-        let calling = client.call(&LARGE, LIMIT);
+        let calling = client.call(&LARGE_RESPONSE_BYTES, RESPONSE_TIMEOUT);
         let cutting = async {
-            tokio::time::sleep(2 * LIMIT).await;
+            tokio::time::sleep(2 * RESPONSE_TIMEOUT).await;
             link.set(LinkFault::Silent);
             Instant::now()
         };
-        let (answer, cut) = tokio::join!(calling, cutting);
-        assert!(matches!(answer, Err(PeerError::Timeout)), "{answer:?}");
-        assert!(cut.elapsed() < SILENCE, "given up {:?} after the cut", cut.elapsed());
+        let (response, cut) = tokio::join!(calling, cutting);
+        assert!(matches!(response, Err(PeerError::Timeout)), "{response:?}");
+        assert!(cut.elapsed() < MAX_STALL_DETECTION, "timed out {:?} after the cut", cut.elapsed());
         let progress = client.progress();
-        assert!(progress.bytes > 0 && progress.bytes < LARGE as usize, "{progress:?}");
+        assert!(
+            progress.bytes > 0 && progress.bytes < LARGE_RESPONSE_BYTES as usize,
+            "{progress:?}"
+        );
     });
 }
 
 #[test]
-fn a_reader_that_takes_nothing_holds_back_nobody_for_long() {
+fn receivers_that_stall_do_not_block_others() {
     with_server(|link| async move {
-        // More than may be on their way side by side, and none of them takes anything in.
+        // More receivers than there are slots for large responses, and none of them reads.
         let stuck = (0..8).map(|_| async {
             let mut client = SizeClient::new(link.address, PATH);
-            client.call(&LARGE, LIMIT * 10).await
+            client.call(&LARGE_RESPONSE_BYTES, RESPONSE_TIMEOUT * 10).await
         });
         let stuck = futures_util::future::join_all(stuck);
-        let asking = async {
+        let requesting = async {
             tokio::time::sleep(Duration::from_millis(5)).await;
             link.set(LinkFault::CutBack);
             tokio::time::sleep(Duration::from_millis(5_500)).await;
             link.set(LinkFault::None);
             let mut client = SizeClient::new(link.address, PATH);
-            let asked = Instant::now();
-            (client.call(&LARGE, LIMIT).await.map(|answer| answer.len()), asked.elapsed())
+            let started = Instant::now();
+            (
+                client
+                    .call(&LARGE_RESPONSE_BYTES, RESPONSE_TIMEOUT)
+                    .await
+                    .map(|response| response.len()),
+                started.elapsed(),
+            )
         };
-        let (_, (answer, took)) = tokio::join!(stuck, asking);
-        assert_eq!(answer.unwrap(), LARGE as usize, "after {took:?}");
+        let (_, (response, took)) = tokio::join!(stuck, requesting);
+        assert_eq!(response.unwrap(), LARGE_RESPONSE_BYTES as usize, "after {took:?}");
     });
 }
 
-/// Readers that take a part now and then keep their turns for as long as their answers last: four of
-/// them hold back every large answer of that VM to all others, for longer than these wait.
+/// Guards against receivers behind slow links that occupy all slots for large responses for longer
+/// than other VMs wait.
 #[test]
-fn readers_that_take_little_hold_back_nobody_for_long() {
-    /// How long a VM waits for its turn to be told declarations.
-    const TURN_WAIT: Duration = Duration::from_millis(1_200);
+fn slow_receivers_do_not_block_others() {
+    /// Time that a VM waits for a slot to receive declarations.
+    const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(1_200);
     let host = LinkHost::start().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -112,14 +125,22 @@
         for _ in 0..4 {
             actix_rt::spawn(async move {
                 let mut client = SizeClient::new(link.address, PATH);
-                // It is still on its way when the test ends.
-                let _ = client.call(&(10 * LARGE), LIMIT * 10).await;
+                // The call is still in progress when the test ends.
+                let _ = client.call(&(10 * LARGE_RESPONSE_BYTES), RESPONSE_TIMEOUT * 10).await;
             });
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
         let mut client = SizeClient::new(address, PATH);
-        let asked = Instant::now();
-        let answer = client.call(&LARGE, TURN_WAIT).await.map(|answer| answer.len());
-        assert_eq!(answer.unwrap(), LARGE as usize, "after {:?}", asked.elapsed());
+        let started = Instant::now();
+        let response = client
+            .call(&LARGE_RESPONSE_BYTES, SLOT_WAIT_TIMEOUT)
+            .await
+            .map(|response| response.len());
+        assert_eq!(
+            response.unwrap(),
+            LARGE_RESPONSE_BYTES as usize,
+            "after {:?}",
+            started.elapsed()
+        );
     });
 }
