--- a/crates/nickellead_platform/src/client.rs
+++ b/crates/nickellead_platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform.
+//! Client of the platform's object API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,37 +16,37 @@
 
 use crate::message::{ListedVm, ObjectList, WatchPage, WriteReceipt};
 
-/// Largest answer that is read, in bytes; the platform holds values up to a megabyte.
-const ANSWER_LIMIT: usize = 32 * 1024 * 1024;
-/// How long an answer may take beyond what the call asks for.
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
+/// Timeout of a call, in addition to the wait time of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a call of the platform gave nothing.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlatformError {
-    /// No answer, or an error of the platform: a write may have taken effect.
-    #[error("the platform did not answer: {0}")]
+    /// No response or an error of the platform; a write may have taken effect.
+    #[error("the platform is unavailable: {0}")]
     Unavailable(String),
     /// The object has another version.
-    #[error("the object has version {0} now: read it and decide anew")]
+    #[error("the object has version {0} now: read it and retry")]
     Conflict(Version),
     /// There is no such object.
     #[error("there is no such object")]
     NotFound,
-    /// The watch asked for changes that are not kept any more.
-    #[error("the changes since then are not kept any more: list anew")]
+    /// The platform no longer keeps the changes that the watch requested.
+    #[error("the platform no longer keeps the changes since that revision: list the objects again")]
     Compacted,
-    /// The answer can't be read.
-    #[error("the platform's answer can't be read: {0}")]
+    /// The response can't be decoded.
+    #[error("malformed response of the platform: {0}")]
     Malformed(String),
 }
 
-/// Counts calls, for the budget and for metrics.
+/// Counter of calls, shared by all clones.
 #[derive(Clone, Debug, Default)]
 pub struct CallCounter(Arc<AtomicU64>);
 
 impl CallCounter {
-    /// Calls made so far.
+    /// Number of calls so far, including failed ones.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -57,7 +57,7 @@
     }
 }
 
-/// A client for one thread.
+/// Client of the platform for one thread.
 #[derive(Clone)]
 pub struct PlatformClient {
     http: awc::Client,
@@ -66,14 +66,14 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`; `counter` counts its calls.
     #[must_use]
     pub fn new(address: SocketAddr, counter: CallCounter) -> Self {
         let http = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
         Self { http, base: format!("http://{address}/v1"), counter }
     }
 
-    /// Reads one object's spec.
+    /// Reads and decodes the spec of one object.
     pub async fn read<T: DeserializeOwned>(&self, kind: ObjectKind, name: &Name) -> ReadOutcome<T> {
         match self.get(kind, name).await {
             Ok(object) => match serde_json::from_value(object.spec) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Writes one object's spec if it has the expected version; 0 means absent.
+    /// Writes the spec of one object if it has the expected version; 0 means that it must not exist.
     pub async fn write<T: Serialize>(
         &self,
         kind: ObjectKind,
@@ -103,7 +103,7 @@
     /// Reads one object.
     ///
     /// # Errors
-    /// [`PlatformError::NotFound`] when there is none; else why it could not be read.
+    /// [`PlatformError::NotFound`] when there is no such object, or another error of the call.
     pub async fn get(
         &self,
         kind: ObjectKind,
@@ -113,11 +113,11 @@
         self.call(Method::GET, &path, None, CALL_TIMEOUT).await
     }
 
-    /// Writes one object if it has the expected version; 0 means absent.
+    /// Writes one object if it has the expected version; 0 means that it must not exist.
     ///
     /// # Errors
     /// [`PlatformError::Conflict`] when the version differs. After
-    /// [`PlatformError::Unavailable`] the write may have taken effect: read back.
+    /// [`PlatformError::Unavailable`] the write may have taken effect: read the object again.
     pub async fn put<T: Serialize>(
         &self,
         kind: ObjectKind,
@@ -148,27 +148,27 @@
         Ok(receipt.version)
     }
 
-    /// Lists every object of the declared kinds.
+    /// Lists all objects of the declared kinds.
     ///
     /// # Errors
-    /// Why nothing could be read.
+    /// A [`PlatformError`] of the call.
     pub async fn list_declared(&self) -> Result<ObjectList, PlatformError> {
         self.call(Method::GET, "/objects", None, CALL_TIMEOUT).await
     }
 
-    /// Waits for changes of declared objects after a revision, for a bounded time.
+    /// Waits for changes of declared objects after a revision, for at most `wait`.
     ///
     /// # Errors
-    /// [`PlatformError::Compacted`] when a list is needed first.
+    /// [`PlatformError::Compacted`] when the caller must list the objects first.
     pub async fn watch(&self, from: Version, wait: Duration) -> Result<WatchPage, PlatformError> {
         let path = format!("/watch?from={from}&wait_ms={}", wait.as_millis());
         self.call(Method::GET, &path, None, wait + CALL_TIMEOUT).await
     }
 
-    /// The platform's lagging list of VMs.
+    /// Lists the VMs; the platform's list may lag behind.
     ///
     /// # Errors
-    /// Why nothing could be read.
+    /// A [`PlatformError`] of the call.
     pub async fn vms(&self) -> Result<Vec<ListedVm>, PlatformError> {
         self.call(Method::GET, "/vms", None, CALL_TIMEOUT).await
     }
@@ -188,7 +188,7 @@
         };
         let response = sent.map_err(|error| PlatformError::Unavailable(error.to_string()))?;
         let mut response = response.timeout(timeout);
-        let body = response.body().limit(ANSWER_LIMIT).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| PlatformError::Unavailable(error.to_string()))?;
         match response.status() {
             StatusCode::OK => read_body(&body),
--- a/crates/nickellead_platform/src/lib.rs
+++ b/crates/nickellead_platform/src/lib.rs
@@ -1,9 +1,8 @@
 //! Client of the platform's object API.
 //!
-//! The platform keeps objects with versions and conditional updates, and
-//! offers a watch and a lagging list of VMs. Every call has a time limit and a
-//! size limit and is counted; an answer that can't be read is an error kind,
-//! never a panic.
+//! The platform stores versioned objects with conditional updates, and offers a watch and a list of
+//! VMs that may lag behind. Every call is counted and bounded in time and in response size; a
+//! malformed response is an error, never a panic.
 
 mod client;
 mod message;
--- a/crates/nickellead_platform/src/message.rs
+++ b/crates/nickellead_platform/src/message.rs
@@ -1,4 +1,4 @@
-//! Bodies of the platform's answers.
+//! Bodies of the platform's responses.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 use nickellead_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 
-/// Every object of some kinds, as of one revision.
+/// All objects of the declared kinds at one revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// The platform's revision.
+    /// Revision of the platform that the list shows.
     pub revision: Version,
-    /// The objects.
+    /// Listed objects.
     pub items: Vec<ResourceObject>,
 }
 
-/// One change that a watch saw.
+/// One change of an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Kind of the object.
@@ -28,41 +28,41 @@
     pub revision: Version,
 }
 
-/// What a watch saw since a revision.
+/// Changes since a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchPage {
-    /// The revision to go on from.
+    /// Revision from which the next watch continues.
     pub revision: Version,
-    /// The changes, oldest first.
+    /// Changes, oldest first.
     pub events: Vec<WatchEvent>,
 }
 
-/// Answer to a conditional write.
+/// Response to a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteReceipt {
-    /// The object's version: the new one, or in a conflict the one it has.
+    /// New version of the object, or its current one after a conflict.
     pub version: Version,
 }
 
-/// Whether a VM stays.
+/// State of a VM in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// It will be taken away.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One VM of the platform's lagging list.
+/// One VM of the platform's list, which may lag behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// Name of the VM.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for other VMs.
+    /// Address on which it listens for other VMs.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Whether the VM runs or is about to be removed.
     pub state: VmState,
 }
