--- a/crates/nickellead_platform/tests/responses.rs
+++ b/crates/nickellead_platform/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Garbage, huge and stalled answers of the platform become errors within a bound.
+//! Malformed, truncated and stalled responses of the platform are errors.
 #![allow(clippy::unwrap_used)]
 
 use std::io::{Read, Write};
@@ -9,8 +9,8 @@
 use nickellead_lease::{MandateObject, ReadOutcome, WriteOutcome};
 use nickellead_platform::{CallCounter, PlatformClient, PlatformError};
 
-/// A platform that reads a request and says what the test wants.
-fn raw_platform(answer: &'static [u8], keep_open: bool) -> SocketAddr {
+/// Starts a platform that responds to each request with the given bytes.
+fn raw_platform(response: &'static [u8], keep_open: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -19,7 +19,7 @@
             let mut stream = stream.unwrap();
             let mut bytes = [0; 4_096];
             let _ = stream.read(&mut bytes);
-            let _ = stream.write_all(answer);
+            let _ = stream.write_all(response);
             if keep_open {
                 open.push(stream);
             }
@@ -28,9 +28,9 @@
     address
 }
 
-type Answers = (ReadOutcome<MandateObject>, WriteOutcome, Result<(), PlatformError>);
+type Outcomes = (ReadOutcome<MandateObject>, WriteOutcome, Result<(), PlatformError>);
 
-fn ask(address: SocketAddr) -> Answers {
+fn call_platform(address: SocketAddr) -> Outcomes {
     actix_rt::Runtime::new().unwrap().block_on(async move {
         let client = PlatformClient::new(address, CallCounter::default());
         let name = Name::new("zone-a").unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn answers_that_cannot_be_read_are_failures() {
+fn malformed_responses_are_failures() {
     let cases: [(&[u8], bool); 6] = [
         (b"\x00\xffgarbage\r\n\r\n", false),
         (b"", false),
@@ -50,9 +50,9 @@
         (b"HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n", false),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n{", true),
     ];
-    for (answer, keep_open) in cases {
-        let shown = String::from_utf8_lossy(answer);
-        let (read, write, list) = ask(raw_platform(answer, keep_open));
+    for (response, keep_open) in cases {
+        let shown = String::from_utf8_lossy(response);
+        let (read, write, list) = call_platform(raw_platform(response, keep_open));
         assert_eq!(read, ReadOutcome::Failed, "{shown}");
         assert_eq!(write, WriteOutcome::Failed, "{shown}");
         assert!(list.is_err(), "{shown}");
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn a_platform_out_of_reach_is_a_failure_not_an_absence() {
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (read, write, _) = ask(nobody);
+fn an_unreachable_platform_is_a_failure_and_not_an_absent_object() {
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let (read, write, _) = call_platform(unused);
     assert_eq!((read, write), (ReadOutcome::Failed, WriteOutcome::Failed));
 }
