--- a/crates/nickellead_api/src/config.rs
+++ b/crates/nickellead_api/src/config.rs
@@ -1,4 +1,4 @@
-//! All that operators declared, as one versioned whole.
+//! All declarations of the operators at one revision.
 
 use bincode::{Decode, Encode};
 use nickellead_core::{Name, Version};
@@ -12,7 +12,7 @@
     pub name: Name,
     /// Version of its object.
     pub version: Version,
-    /// Its spec.
+    /// Spec of the service.
     pub spec: ServiceSpec,
 }
 
@@ -23,29 +23,29 @@
     pub name: Name,
     /// Version of its object.
     pub version: Version,
-    /// Its spec.
+    /// Spec of the target.
     pub spec: TargetSpec,
 }
 
-/// Every declaration, as of one revision of the platform.
+/// All declared services and targets at one revision of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct DeclaredConfig {
-    /// The platform's revision that this holds; a later one always replaces it.
+    /// Revision of the platform; a higher one always replaces a lower one.
     pub revision: Version,
-    /// Services, by name.
+    /// Services, sorted by name.
     pub services: Vec<DeclaredService>,
-    /// Targets, by name.
+    /// Targets, sorted by name.
     pub targets: Vec<DeclaredTarget>,
 }
 
 impl DeclaredConfig {
-    /// The service of this name.
+    /// Returns the service of this name, or `None` if it is not declared.
     #[must_use]
     pub fn service(&self, name: &Name) -> Option<&DeclaredService> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// The targets that stand in a zone.
+    /// Returns the targets in a zone.
     pub fn targets_in<'a>(&'a self, zone: &'a Name) -> impl Iterator<Item = &'a DeclaredTarget> {
         self.targets.iter().filter(move |target| target.spec.zone == *zone)
     }
--- a/crates/nickellead_api/src/lib.rs
+++ b/crates/nickellead_api/src/lib.rs
@@ -1,8 +1,7 @@
-//! Resource objects: their types, their checks and their errors.
+//! Types and validation of resource objects.
 //!
-//! An object is `{kind, name, version, spec, status}`. Operators and their
-//! automation write specs; the system writes statuses; both are read the same
-//! way. Every check of a spec names the field that is wrong and how to mend it.
+//! An object is `{kind, name, version, spec, status}`. Operators and their automation write specs,
+//! and the system writes statuses. Validation errors name the invalid field and how to correct it.
 
 mod config;
 mod object;
--- a/crates/nickellead_api/src/object.rs
+++ b/crates/nickellead_api/src/object.rs
@@ -1,27 +1,27 @@
-//! The common form of every object.
+//! Common format of all objects.
 
 use nickellead_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 
-/// The closed list of kinds.
+/// Kind of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
-    /// A declared service.
+    /// Service; declared by operators.
     Service,
-    /// A declared target.
+    /// Target; declared by operators.
     Target,
-    /// A zone's lease of coordination; written by the system only.
+    /// Mandate (leader lease) of a zone; written by the system only.
     Mandate,
     /// Placement of one service in one zone; written by the system only.
     Placement,
 }
 
 impl ObjectKind {
-    /// Every kind.
+    /// All kinds, in order of declaration.
     pub const ALL: [Self; 4] = [Self::Service, Self::Target, Self::Mandate, Self::Placement];
 
-    /// The name of the kind in paths and files.
+    /// Name of the kind in paths and files.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The kind of this name.
+    /// Returns the kind of this name, or `None` if there is no such kind.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == name)
@@ -45,7 +45,7 @@
     }
 }
 
-/// One object, as the resource API shows it.
+/// One object in the format of the resource API.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceObject {
@@ -53,12 +53,12 @@
     pub kind: ObjectKind,
     /// Name, unique within the kind.
     pub name: Name,
-    /// Version that the platform gave it; 0 in an object that is not stored yet.
+    /// Version that the platform assigned; 0 if the object is not stored yet.
     #[serde(default)]
     pub version: Version,
-    /// What is wanted.
+    /// Desired state.
     pub spec: serde_json::Value,
-    /// What is; never read from a writer.
+    /// Observed state; ignored in writes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<serde_json::Value>,
 }
--- a/crates/nickellead_api/src/service.rs
+++ b/crates/nickellead_api/src/service.rs
@@ -6,40 +6,40 @@
 
 use crate::FieldError;
 
-/// Most shards of one service.
-pub const SHARDS_MAX: u32 = 131_072;
-/// Most zones of one service.
-const ZONES_MAX: usize = 64;
-/// Most operations of one service.
-const OPERATIONS_MAX: usize = 64;
-/// Longest deadline of an operation, in milliseconds.
-const DEADLINE_MAX_MS: u32 = 120_000;
-/// Largest body that a service may allow, in bytes.
-const BODY_LIMIT_MAX: u32 = 16 * 1024 * 1024;
+/// Maximum number of shards of one service.
+pub const MAX_SHARDS: u32 = 131_072;
+/// Maximum number of zones of one service.
+const MAX_ZONES: usize = 64;
+/// Maximum number of operations of one service.
+const MAX_OPERATIONS: usize = 64;
+/// Maximum deadline of an operation.
+const MAX_DEADLINE_MS: u32 = 120_000;
+/// Maximum body limit that a service may declare.
+const MAX_BODY_LIMIT_BYTES: u32 = 16 * 1024 * 1024;
 
-/// What operators say of a service.
+/// Declaration of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Availability zones that hold the keys; each has an equal part of the shards.
+    /// Availability zones that own the keys, with an equal number of shards each.
     pub zones: Vec<Name>,
-    /// Number of hash partitions; fixed for the service's life.
+    /// Number of hash partitions; immutable.
     #[serde(default = "default_shards")]
     pub shards: u32,
-    /// Where a request names its key.
+    /// Location of the key in a request.
     pub key: KeySource,
-    /// What callers may ask for.
+    /// Operations that callers may request.
     pub operations: Vec<OperationSpec>,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_limit")]
     pub body_limit: u32,
-    /// Whether the targets check grants themselves.
+    /// How targets check grants.
     #[serde(default)]
     pub fencing: FencingMode,
-    /// What happens to the keys of a zone that went silent.
+    /// Handling of the keys of a zone that is disconnected.
     #[serde(default)]
     pub isolation: IsolationPolicy,
-    /// What the placement policy weighs.
+    /// Weights of the placement policy.
     #[serde(default)]
     pub weights: PolicyWeights,
 }
@@ -52,21 +52,21 @@
     64 * 1024
 }
 
-/// Where a request names its key.
+/// Location of the key in a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "from", rename_all = "lowercase", deny_unknown_fields)]
 pub enum KeySource {
-    /// The path segment at this place; the service's name is segment 0.
+    /// The path segment at this index; the service's name is segment 0.
     Path {
-        /// Place of the segment.
+        /// Index of the segment.
         segment: u8,
     },
-    /// A header.
+    /// The value of a header.
     Header {
         /// Name of the header, in lower case.
         name: String,
     },
-    /// A parameter of the query.
+    /// The value of a query parameter.
     Query {
         /// Name of the parameter.
         name: String,
@@ -77,37 +77,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatRule {
-    /// Sent at most once, unless the earlier try is proved not run.
+    /// Sent again only if the earlier attempt provably did not run.
     Once,
-    /// May be tried again inside the deadline.
+    /// May be sent again within the deadline.
     Repeatable,
 }
 
-/// Who gives way first.
+/// Priority of an operation under load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum UrgencyClass {
-    /// Somebody waits at the counter or the clock.
+    /// Latency-sensitive: somebody waits for the response.
     #[default]
     Urgent,
-    /// Can wait: reminders, price history.
+    /// May be delayed in favour of urgent operations.
     Deferrable,
 }
 
-/// One operation: a method and the path segment after the service's name.
+/// One operation, identified by the method and the path segment after the service's name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(deny_unknown_fields)]
 pub struct OperationSpec {
     /// The second segment of the path.
     pub name: Name,
-    /// HTTP method, in capitals.
+    /// HTTP method, in upper case.
     pub method: String,
-    /// Whether it may be repeated.
+    /// Whether the router may repeat a request.
     pub repeat: RepeatRule,
-    /// Whether it may wait.
+    /// Priority under load.
     #[serde(default)]
     pub urgency: UrgencyClass,
-    /// Longest time an answer is waited for, in milliseconds.
+    /// Maximum time until the response, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u32,
 }
@@ -116,33 +116,33 @@
     2_000
 }
 
-/// Whether targets check grants.
+/// How targets check grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum FencingMode {
-    /// Targets refuse what they do not own.
+    /// Targets refuse requests for keys that they do not own.
     #[default]
     Checked,
 }
 
-/// What happens to the keys of a zone that went silent.
+/// Handling of the keys of a zone that is disconnected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum IsolationPolicy {
-    /// The keys stay with their zone; callers elsewhere are refused.
+    /// The keys stay in their zone, and requests from other zones are refused.
     #[default]
     Hold,
 }
 
-/// What the placement policy weighs; each from 0 to 100.
+/// Weights of the placement policy, each from 0 to 100.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyWeights {
-    /// Weight of the time keys are unavailable.
+    /// Weight of the time for which keys are unavailable.
     pub unavailable: u8,
-    /// Weight of moves of ownership.
+    /// Weight of ownership moves.
     pub churn: u8,
-    /// Weight of unequal load.
+    /// Weight of unequal load of targets.
     pub imbalance: u8,
 }
 
@@ -153,79 +153,81 @@
 }
 
 impl ServiceSpec {
-    /// Checks what the types can't say.
+    /// Validates the constraints that the types do not express.
     ///
     /// # Errors
-    /// Returns the first field that is wrong.
+    /// The first invalid field.
     pub fn check(&self) -> Result<(), FieldError> {
         check_zones(&self.zones)?;
-        if self.shards == 0 || self.shards > SHARDS_MAX {
-            return Err(range_error("shards", 1, u64::from(SHARDS_MAX)));
+        if self.shards == 0 || self.shards > MAX_SHARDS {
+            return Err(range_error("shards", 1, u64::from(MAX_SHARDS)));
         }
         if (self.shards as usize) < self.zones.len() {
             return Err(FieldError::new("shards", "must be at least the number of zones"));
         }
-        if self.body_limit > BODY_LIMIT_MAX {
-            return Err(range_error("body_limit", 0, u64::from(BODY_LIMIT_MAX)));
+        if self.body_limit > MAX_BODY_LIMIT_BYTES {
+            return Err(range_error("body_limit", 0, u64::from(MAX_BODY_LIMIT_BYTES)));
         }
         check_key(&self.key)?;
         check_operations(&self.operations)?;
         check_weights(self.weights)
     }
 
-    /// Checks a change of the spec against what may not change.
+    /// Validates that a change of the spec leaves immutable fields as they are.
     ///
     /// # Errors
-    /// Returns the first fixed field that differs.
+    /// The first immutable field that differs.
     pub fn check_change(&self, old: &Self) -> Result<(), FieldError> {
         if self.shards != old.shards {
-            return Err(fixed_error("shards"));
+            return Err(immutable_error("shards"));
         }
         if self.zones != old.zones {
-            return Err(fixed_error("zones"));
+            return Err(immutable_error("zones"));
         }
         Ok(())
     }
 
-    /// The number of shards, never zero in a checked spec.
+    /// Returns the number of shards, or the minimum for an invalid spec.
     #[must_use]
     pub fn shard_count(&self) -> ShardCount {
         ShardCount::new(self.shards).unwrap_or(ShardCount::MIN)
     }
 
-    /// The zone that holds a shard.
+    /// Returns the zone that owns a shard; `None` if the index is out of range.
     #[must_use]
     pub fn zone_of(&self, shard: ShardIndex) -> Option<&Name> {
         let count = self.zones.len();
         (0..count)
-            .find(|place| zone_range(self.shards, count, *place).contains(&shard.0))
-            .map(|place| &self.zones[place])
+            .find(|index| zone_range(self.shards, count, *index).contains(&shard.0))
+            .map(|index| &self.zones[index])
     }
 
-    /// The shards that a zone holds; empty when the service is not in the zone.
+    /// Returns the shards that a zone owns; empty if the service is not in the zone.
     #[must_use]
     pub fn shards_in(&self, zone: &Name) -> std::ops::Range<u32> {
         match self.zones.iter().position(|name| name == zone) {
-            Some(place) => zone_range(self.shards, self.zones.len(), place),
+            Some(index) => zone_range(self.shards, self.zones.len(), index),
             None => 0..0,
         }
     }
 }
 
-/// The shards of the zone at `place` of `count` zones: equal, contiguous parts.
+/// Returns the shards of the zone at `index` of `count` zones.
+///
+/// The ranges are contiguous, and their sizes differ by at most one.
 #[must_use]
-pub fn zone_range(shards: u32, count: usize, place: usize) -> std::ops::Range<u32> {
-    let bound = |part: usize| (u64::from(shards) * part as u64 / count as u64) as u32;
-    bound(place)..bound(place + 1)
+pub fn zone_range(shards: u32, count: usize, index: usize) -> std::ops::Range<u32> {
+    let bound = |zones: usize| (u64::from(shards) * zones as u64 / count as u64) as u32;
+    bound(index)..bound(index + 1)
 }
 
 fn check_zones(zones: &[Name]) -> Result<(), FieldError> {
-    if zones.is_empty() || zones.len() > ZONES_MAX {
-        return Err(FieldError::new("zones", format!("must name 1 to {ZONES_MAX} zones")));
+    if zones.is_empty() || zones.len() > MAX_ZONES {
+        return Err(FieldError::new("zones", format!("must name 1 to {MAX_ZONES} zones")));
     }
-    for (place, zone) in zones.iter().enumerate() {
-        if zones[..place].contains(zone) {
-            return Err(FieldError::new(format!("zones[{place}]"), "names a zone twice"));
+    for (index, zone) in zones.iter().enumerate() {
+        if zones[..index].contains(zone) {
+            return Err(FieldError::new(format!("zones[{index}]"), "names a zone twice"));
         }
     }
     Ok(())
@@ -244,28 +246,28 @@
 }
 
 fn is_token(name: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    !name.is_empty() && name.bytes().all(fits)
+    let is_valid = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    !name.is_empty() && name.bytes().all(is_valid)
 }
 
 fn check_operations(operations: &[OperationSpec]) -> Result<(), FieldError> {
-    if operations.is_empty() || operations.len() > OPERATIONS_MAX {
-        let reason = format!("must declare 1 to {OPERATIONS_MAX} operations");
+    if operations.is_empty() || operations.len() > MAX_OPERATIONS {
+        let reason = format!("must declare 1 to {MAX_OPERATIONS} operations");
         return Err(FieldError::new("operations", reason));
     }
-    for (place, operation) in operations.iter().enumerate() {
-        let field = |name: &str| format!("operations[{place}].{name}");
-        if operation.deadline_ms == 0 || operation.deadline_ms > DEADLINE_MAX_MS {
-            return Err(range_error(field("deadline_ms"), 1, u64::from(DEADLINE_MAX_MS)));
+    for (index, operation) in operations.iter().enumerate() {
+        let field = |name: &str| format!("operations[{index}].{name}");
+        if operation.deadline_ms == 0 || operation.deadline_ms > MAX_DEADLINE_MS {
+            return Err(range_error(field("deadline_ms"), 1, u64::from(MAX_DEADLINE_MS)));
         }
-        let known = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
-        if !known.contains(&operation.method.as_str()) {
-            return Err(FieldError::new(field("method"), format!("must be one of {known:?}")));
+        let methods = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
+        if !methods.contains(&operation.method.as_str()) {
+            return Err(FieldError::new(field("method"), format!("must be one of {methods:?}")));
         }
-        let same = |other: &OperationSpec| {
+        let is_duplicate = |other: &OperationSpec| {
             other.name == operation.name && other.method == operation.method
         };
-        if operations[..place].iter().any(same) {
+        if operations[..index].iter().any(is_duplicate) {
             return Err(FieldError::new(field("name"), "is declared twice for this method"));
         }
     }
@@ -273,21 +275,21 @@
 }
 
 fn check_weights(weights: PolicyWeights) -> Result<(), FieldError> {
-    let parts = [
+    let weights = [
         ("weights.unavailable", weights.unavailable),
         ("weights.churn", weights.churn),
         ("weights.imbalance", weights.imbalance),
     ];
-    match parts.into_iter().find(|(_, weight)| *weight > 100) {
+    match weights.into_iter().find(|(_, weight)| *weight > 100) {
         Some((field, _)) => Err(range_error(field, 0, 100)),
         None => Ok(()),
     }
 }
 
-fn range_error(field: impl Into<String>, least: u64, most: u64) -> FieldError {
-    FieldError::new(field, format!("must be from {least} to {most}"))
+fn range_error(field: impl Into<String>, min: u64, max: u64) -> FieldError {
+    FieldError::new(field, format!("must be from {min} to {max}"))
 }
 
-fn fixed_error(field: &str) -> FieldError {
+fn immutable_error(field: &str) -> FieldError {
     FieldError::new(field, "can't change: declare a new service and move the callers")
 }
--- a/crates/nickellead_api/src/target.rs
+++ b/crates/nickellead_api/src/target.rs
@@ -8,43 +8,43 @@
 
 use crate::FieldError;
 
-/// What operators say of a target.
+/// Declaration of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// The service it belongs to.
+    /// Service that the target runs.
     pub service: Name,
-    /// The availability zone it stands in.
+    /// Availability zone of the target.
     pub zone: Name,
-    /// Where it listens.
+    /// Address on which the target listens.
     pub address: SocketAddr,
-    /// Requests it runs side by side.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
-    /// Connections it takes, from all VMs together.
+    /// Maximum number of connections from all VMs in total.
     pub connections: u16,
-    /// What the operator wants of it.
+    /// Desired state.
     #[serde(default)]
     pub state: TargetState,
 }
 
-/// What the operator wants of a target.
+/// Desired state of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetState {
-    /// Holds keys.
+    /// Owns keys.
     #[default]
     Active,
-    /// Gives its keys away by planned moves and gets no new ones.
+    /// Releases its keys by planned moves and gets no new ones.
     Draining,
-    /// Is declared lost for good: its keys may be given away without waiting for its lease.
+    /// Is permanently lost: its keys may be reassigned without waiting for its lease to expire.
     Gone,
 }
 
 impl TargetSpec {
-    /// Checks what the types can't say.
+    /// Validates the constraints that the types do not express.
     ///
     /// # Errors
-    /// Returns the first field that is wrong.
+    /// The first invalid field.
     pub fn check(&self) -> Result<(), FieldError> {
         if self.slots == 0 {
             return Err(FieldError::new("slots", "must be at least 1"));
@@ -58,10 +58,10 @@
         Ok(())
     }
 
-    /// Checks a change of the spec against what may not change.
+    /// Validates that a change of the spec leaves immutable fields as they are.
     ///
     /// # Errors
-    /// Returns the first fixed field that differs.
+    /// The first immutable field that differs.
     pub fn check_change(&self, old: &Self) -> Result<(), FieldError> {
         let reason = "can't change: declare a new target and drain this one";
         if self.service != old.service {
