--- a/crates/nickellead_standin/src/target.rs
+++ b/crates/nickellead_standin/src/target.rs
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// Returns the I/O error if the file can't be opened.
-    pub fn with_effects_file(path: &Path) -> std::io::Result<Self> {
+    pub fn with_effect_log(path: &Path) -> std::io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let tables = SharedTables { file: Some(file), ..SharedTables::default() };
         Ok(Self(Arc::new(Mutex::new(tables))))
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -140,9 +140,7 @@
             service_time_us: self.service_us,
         };
         let shared = match &self.effects {
-            Some(path) => {
-                SharedState::with_effects_file(path).map_err(|error| error.to_string())?
-            }
+            Some(path) => SharedState::with_effect_log(path).map_err(|error| error.to_string())?,
             None => SharedState::default(),
         };
         let target = StandinTarget::start(settings, shared);
