--- a/crates/nickellead_proxy/src/caller_stream.rs
+++ b/crates/nickellead_proxy/src/caller_stream.rs
@@ -1,7 +1,7 @@
-//! A caller's connection that shows whether bytes of answers wait in this process.
+//! Connection of a caller that counts as blocked while the socket's send buffer is full.
 //!
-//! An answer that was written whole is the system's: it leaves also after the
-//! process has ended. What the system had no room for is lost with the process.
+//! The system transmits bytes in the send buffer even after the process has ended. Bytes that did
+//! not fit are lost with the process.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -12,37 +12,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection of a caller, counted while its last write found no room.
+/// Connection of a caller, counted while its last write is pending.
 #[derive(Debug)]
 pub(crate) struct CallerStream {
     stream: TcpStream,
-    /// Shared by all connections.
-    waiting: Arc<AtomicUsize>,
-    /// Whether this one is counted.
-    waits: bool,
+    /// Number of blocked connections; shared by all connections.
+    blocked: Arc<AtomicUsize>,
+    /// Whether this connection is counted.
+    is_blocked: bool,
 }
 
 impl CallerStream {
-    /// A connection on which nothing waits yet.
-    pub(crate) fn new(stream: TcpStream, waiting: Arc<AtomicUsize>) -> Self {
-        Self { stream, waiting, waits: false }
+    /// Wraps a connection that is not blocked.
+    pub(crate) fn new(stream: TcpStream, blocked: Arc<AtomicUsize>) -> Self {
+        Self { stream, blocked, is_blocked: false }
     }
 
-    fn note(&mut self, waits: bool) {
-        if waits == self.waits {
+    fn set_blocked(&mut self, is_blocked: bool) {
+        if is_blocked == self.is_blocked {
             return;
         }
-        self.waits = waits;
-        match waits {
-            true => self.waiting.fetch_add(1, Ordering::Relaxed),
-            false => self.waiting.fetch_sub(1, Ordering::Relaxed),
+        self.is_blocked = is_blocked;
+        match is_blocked {
+            true => self.blocked.fetch_add(1, Ordering::Relaxed),
+            false => self.blocked.fetch_sub(1, Ordering::Relaxed),
         };
     }
 }
 
 impl Drop for CallerStream {
     fn drop(&mut self) {
-        self.note(false);
+        self.set_blocked(false);
     }
 }
 
@@ -63,17 +63,17 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.note(polled.is_pending());
+        self.set_blocked(polled.is_pending());
         polled
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        pieces: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write_vectored(context, pieces);
-        self.note(polled.is_pending());
+        let polled = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
+        self.set_blocked(polled.is_pending());
         polled
     }
 
--- a/crates/nickellead_proxy/src/deadline.rs
+++ b/crates/nickellead_proxy/src/deadline.rs
@@ -1,26 +1,26 @@
-//! Until when a request is worth working on.
+//! Deadlines of requests.
 
 use std::time::{Duration, Instant};
 
-/// A request's deadline on this machine's clock.
+/// Deadline of a request on the monotonic clock of this machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadline(Instant);
 
 impl Deadline {
-    pub(crate) fn after(length: Duration) -> Self {
-        Self(Instant::now() + length)
+    pub(crate) fn after(duration: Duration) -> Self {
+        Self(Instant::now() + duration)
     }
 
-    /// The earlier of this deadline and one after `length`.
-    pub(crate) fn or_after(self, length: Duration) -> Self {
-        Self(self.0.min(Instant::now() + length))
+    /// Returns the earlier of this deadline and the one after `duration`.
+    pub(crate) fn or_after(self, duration: Duration) -> Self {
+        Self(self.0.min(Instant::now() + duration))
     }
 
-    pub(crate) fn left(self) -> Duration {
+    pub(crate) fn remaining(self) -> Duration {
         self.0.saturating_duration_since(Instant::now())
     }
 
-    pub(crate) fn is_over(self) -> bool {
-        self.left().is_zero()
+    pub(crate) fn has_passed(self) -> bool {
+        self.remaining().is_zero()
     }
 }
--- a/crates/nickellead_proxy/src/exchange.rs
+++ b/crates/nickellead_proxy/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a target: exactly one request, at most one answer.
+//! One exchange with a target: exactly one request and at most one response.
 
 use std::time::Duration;
 
@@ -11,14 +11,16 @@
 use nickellead_route::TargetRoute;
 
 use crate::deadline::Deadline;
-use crate::headers::{DEADLINE_HEADER, EPOCH_HEADER, REQUEST_ID_HEADER, SHARD_HEADER, is_passed};
+use crate::headers::{
+    DEADLINE_HEADER, EPOCH_HEADER, REQUEST_ID_HEADER, SHARD_HEADER, is_forwarded,
+};
 
-/// A target's word that it did not run a request, and why.
+/// Header with which a target refuses a request that it did not run; its value is the reason.
 pub const REFUSAL_HEADER: &str = "nickellead-refused";
-/// Value of [`REFUSAL_HEADER`] when the target has no free slot.
+/// Value of [`REFUSAL_HEADER`] if the target has no free slot.
 const REFUSAL_BUSY: &str = "busy";
 
-/// Where and as what a request is sent.
+/// Target and routing parameters of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExchangePlan<'a> {
     pub(crate) target: &'a TargetRoute,
@@ -28,40 +30,40 @@
     pub(crate) deadline: Deadline,
 }
 
-/// Sends a request once and waits for the head of the answer.
+/// Sends a request once and waits for the head of the response.
 ///
-/// The error's outcome is "not run" only where that is proved: no connection
-/// was made, or the target itself refused.
+/// The outcome of an error is "not run" only if that is certain: no connection was opened, or the
+/// target itself refused the request.
 pub(crate) async fn exchange(
     client: &Client,
     head: &RequestHead,
     body: Bytes,
     plan: ExchangePlan<'_>,
 ) -> Result<ClientResponse, ErrorKind> {
-    let left = plan.deadline.left();
-    if left < Duration::from_millis(1) {
+    let remaining = plan.deadline.remaining();
+    if remaining < Duration::from_millis(1) {
         return Err(ErrorKind::DeadlineTooShort);
     }
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let uri = format!("http://{}{path}", plan.target.address);
-    let mut request = client.request(head.method.clone(), uri).timeout(left).no_decompress();
-    for (name, value) in head.headers.iter().filter(|(name, _)| is_passed(name)) {
+    let mut request = client.request(head.method.clone(), uri).timeout(remaining).no_decompress();
+    for (name, value) in head.headers.iter().filter(|(name, _)| is_forwarded(name)) {
         request = request.append_header((name.clone(), value.clone()));
     }
     let request = request
         .insert_header((SHARD_HEADER, plan.shard.0))
         .insert_header((EPOCH_HEADER, plan.epoch.0))
-        .insert_header((DEADLINE_HEADER, left.as_millis() as u64))
+        .insert_header((DEADLINE_HEADER, remaining.as_millis() as u64))
         .insert_header((REQUEST_ID_HEADER, plan.request_id));
-    let response = request.send_body(body).await.map_err(|error| kind_of(&error))?;
-    check_answer(response, plan.request_id)
+    let response = request.send_body(body).await.map_err(|error| classify_error(&error))?;
+    check_response(response, plan.request_id)
 }
 
-fn kind_of(error: &SendRequestError) -> ErrorKind {
+fn classify_error(error: &SendRequestError) -> ErrorKind {
     match error {
-        // The library's word for a connection that broke while the answer was awaited.
+        // The HTTP client reports this error if the connection is lost while it waits for the response.
         SendRequestError::Connect(ConnectError::Disconnected) => ErrorKind::AnswerLost,
-        // No connection was made, so that no byte was sent.
+        // No connection was opened, so no byte was sent.
         SendRequestError::Connect(_) | SendRequestError::Url(_) => ErrorKind::TargetUnreachable,
         SendRequestError::Timeout => ErrorKind::AnswerLate,
         SendRequestError::Response(_) => ErrorKind::AnswerMalformed,
@@ -69,14 +71,14 @@
     }
 }
 
-/// Checks that the answer belongs to this request and is no refusal.
-fn check_answer(response: ClientResponse, request_id: u64) -> Result<ClientResponse, ErrorKind> {
+/// Checks that the response belongs to this request and is not a refusal.
+fn check_response(response: ClientResponse, request_id: u64) -> Result<ClientResponse, ErrorKind> {
     let header = |name: &str| {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
         response.headers().get(name)?.to_str().ok()
     };
-    let returned = header(REQUEST_ID_HEADER).and_then(|value| value.parse::<u64>().ok());
-    if returned != Some(request_id) {
+    let returned_id = header(REQUEST_ID_HEADER).and_then(|value| value.parse::<u64>().ok());
+    if returned_id != Some(request_id) {
         return Err(ErrorKind::AnswerMalformed);
     }
     match header(REFUSAL_HEADER) {
--- a/crates/nickellead_proxy/src/incoming.rs
+++ b/crates/nickellead_proxy/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: service, operation, key, deadline, body.
+//! Parsing of a caller's request: service, operation, key, deadline and body.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use nickellead_core::{ErrorKind, MAX_KEY_BYTES, ServiceKey};
 use nickellead_route::{RouteDecision, RoutingTable, ServiceRoute};
 
-use crate::headers::{DEADLINE_HEADER, number};
+use crate::headers::{DEADLINE_HEADER, parse_number};
 
-/// What is asked, as far as routing needs it.
+/// Properties of a request that routing needs.
 #[derive(Clone, Debug)]
-pub(crate) struct PlannedCall {
+pub(crate) struct IncomingRequest {
     pub(crate) service: ServiceKey,
     pub(crate) key: Vec<u8>,
     pub(crate) repeat: RepeatRule,
@@ -22,8 +22,8 @@
     pub(crate) body_limit: usize,
 }
 
-impl PlannedCall {
-    /// Reads the head of a request.
+impl IncomingRequest {
+    /// Parses the head of a request.
     pub(crate) fn read(request: &Request, table: &RoutingTable) -> Result<Self, ErrorKind> {
         let path = request.path();
         let mut segments = path.split('/').skip(1);
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Where the request goes now.
+    /// Looks up the current owner of the request's key.
     pub(crate) fn decide(&self, table: &RoutingTable) -> Result<RouteDecision, ErrorKind> {
         let service = table.service_by_key(self.service).ok_or(ErrorKind::UnknownService)?;
         Ok(service.decide(&self.key))
@@ -59,9 +59,9 @@
     name: &str,
 ) -> Result<&'a OperationSpec, ErrorKind> {
     let mut operations = service.spec.operations.iter();
-    let fits =
+    let matches =
         |operation: &&OperationSpec| operation.name.as_str() == name && operation.method == method;
-    operations.find(fits).ok_or(ErrorKind::UnknownOperation)
+    operations.find(matches).ok_or(ErrorKind::UnknownOperation)
 }
 
 fn read_key(request: &Request, source: &KeySource) -> Result<Vec<u8>, ErrorKind> {
@@ -83,25 +83,25 @@
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The caller's deadline, if it is shorter than the operation's.
+/// Returns the caller's deadline, limited to the operation's.
 fn read_deadline(request: &Request, operation_ms: u32) -> Result<Duration, ErrorKind> {
-    let longest = u64::from(operation_ms);
-    let wanted = match request.headers().get(DEADLINE_HEADER) {
-        Some(value) => number(value).ok_or(ErrorKind::RequestMalformed)?,
-        None => longest,
+    let max_ms = u64::from(operation_ms);
+    let requested_ms = match request.headers().get(DEADLINE_HEADER) {
+        Some(value) => parse_number(value).ok_or(ErrorKind::RequestMalformed)?,
+        None => max_ms,
     };
-    Ok(Duration::from_millis(wanted.min(longest)))
+    Ok(Duration::from_millis(requested_ms.min(max_ms)))
 }
 
-/// Reads a body whole, so that a try that is proved not run can be repeated.
+/// Reads a whole body, so that the request can be sent again.
 pub(crate) async fn read_body(mut payload: Payload, limit: usize) -> Result<Bytes, ErrorKind> {
     let mut body = BytesMut::new();
-    while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| ErrorKind::BodyTruncated)?;
-        if body.len() + part.len() > limit {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|_| ErrorKind::BodyTruncated)?;
+        if body.len() + chunk.len() > limit {
             return Err(ErrorKind::BodyTooLarge);
         }
-        body.extend_from_slice(&part);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
--- a/crates/nickellead_proxy/src/lib.rs
+++ b/crates/nickellead_proxy/src/lib.rs
@@ -1,22 +1,21 @@
-//! The request path over sockets: from a caller's request to the owning target and back.
+//! HTTP request path from callers to the targets that own the keys, and back.
 //!
-//! One [`ProxyWorker`] runs on one thread. It reads its own routing table,
-//! which updates reach over a bounded ring, and shares nothing with the other
-//! workers but counters.
+//! Each [`ProxyWorker`] runs on one thread with its own routing table, which is updated through a
+//! bounded ring. Workers share only counters.
 
-mod answer;
-mod answer_body;
 mod caller_stream;
 mod deadline;
+mod error_response;
 mod exchange;
 mod headers;
 mod incoming;
 mod metrics;
+mod response_body;
 mod serve;
 mod transport;
 mod worker;
 
-pub use answer::error_response;
+pub use error_response::error_response;
 pub use exchange::REFUSAL_HEADER;
 pub use headers::{
     DEADLINE_HEADER, EPOCH_HEADER, ERROR_HEADER, OUTCOME_HEADER, REQUEST_ID_HEADER, SHARD_HEADER,
--- a/crates/nickellead_proxy/src/metrics.rs
+++ b/crates/nickellead_proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters that all workers of a process share.
+//! Metrics of the request path, shared by all workers of a process.
 
 use std::sync::Arc;
 
@@ -15,36 +15,48 @@
     kind: &'static str,
 }
 
-/// What the request path counts.
+/// Metrics of the request path.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyMetrics {
-    /// Requests that came in.
+    /// Requests received from callers.
     pub requests: Counter,
-    /// Answers of targets passed on.
-    pub answered: Counter,
-    /// Requests under way.
-    pub running: Gauge,
-    /// Tries after the first.
+    /// Responses of targets forwarded to callers.
+    pub forwarded: Counter,
+    /// Requests that are being handled.
+    pub in_flight: Gauge,
+    /// Attempts after the first one of a request.
     pub retries: Counter,
-    /// Requests that waited for a new owner.
-    pub waited: Counter,
+    /// Requests that waited until their shard had an owner.
+    pub waited_for_owner: Counter,
     errors: Arc<Family<KindLabel, Counter>>,
 }
 
 impl ProxyMetrics {
-    /// Counts an answer of the router itself.
+    /// Counts an error response of the router itself.
     pub fn count_error(&self, kind: ErrorKind) {
         let label = KindLabel { kind: kind.response().code };
         self.errors.get_or_create(&label).inc();
     }
 
-    /// Registers every counter.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("requests", "Requests from callers", self.requests.clone());
-        registry.register("answered", "Answers of targets passed on", self.answered.clone());
-        registry.register("running", "Requests under way", self.running.clone());
-        registry.register("retries", "Tries after the first", self.retries.clone());
-        registry.register("waited", "Requests that waited for a new owner", self.waited.clone());
-        registry.register("errors", "Answers of the router itself", (*self.errors).clone());
+        registry.register(
+            "answered",
+            "Responses of targets forwarded to callers",
+            self.forwarded.clone(),
+        );
+        registry.register("running", "Requests that are being handled", self.in_flight.clone());
+        registry.register(
+            "retries",
+            "Attempts after the first one of a request",
+            self.retries.clone(),
+        );
+        registry.register(
+            "waited",
+            "Requests that waited for an owner",
+            self.waited_for_owner.clone(),
+        );
+        registry.register("errors", "Error responses of the router itself", (*self.errors).clone());
     }
 }
--- a/crates/nickellead_proxy/src/serve.rs
+++ b/crates/nickellead_proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP/1.1 and HTTP/2 on one thread.
+//! HTTP/1.1 and HTTP/2 server on one thread.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,27 +18,27 @@
 
 use crate::caller_stream::CallerStream;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections in the listen backlog.
 const BACKLOG: i32 = 1_024;
-/// How long a request's head may take.
+/// Maximum time to receive the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Begin of a connection that speaks HTTP/2.
-const HTTP2_BEGIN: &[u8] = b"PRI * HTTP/2";
+/// First bytes of the HTTP/2 connection preface.
+const HTTP2_PREFACE_START: &[u8] = b"PRI * HTTP/2";
 
-/// Why an address can't be listened on.
+/// Error of opening a listener.
 pub type ListenError = std::io::Error;
 
-/// What a process's listeners share with whoever stops them.
+/// State of the listeners of a process, by which they are stopped and observed.
 #[derive(Debug)]
 pub struct ServeState {
     stopping: watch::Sender<bool>,
     draining: AtomicBool,
     running: AtomicUsize,
     open: AtomicUsize,
-    /// Connections on which bytes of answers wait for room.
-    waiting: Arc<AtomicUsize>,
+    /// Number of connections with pending writes.
+    blocked: Arc<AtomicUsize>,
 }
 
 impl Default for ServeState {
@@ -48,18 +48,18 @@
             draining: AtomicBool::new(false),
             running: AtomicUsize::new(0),
             open: AtomicUsize::new(0),
-            waiting: Arc::default(),
+            blocked: Arc::default(),
         }
     }
 }
 
 impl ServeState {
-    /// Goes on taking connections, but closes each after its next answer.
+    /// Closes each connection after its next response; new connections are still accepted.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Takes no new connections, and closes the others after their current answer.
+    /// Stops accepting connections and closes the others after their current response.
     pub fn stop(&self) {
         self.stopping.send_replace(true);
     }
@@ -70,26 +70,26 @@
         *self.stopping.borrow()
     }
 
-    /// Connections that are open.
+    /// Number of open connections of callers.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Requests under way whose callers have not left.
+    /// Number of requests that are being handled and whose callers are still connected.
     #[must_use]
     pub fn running_requests(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Connections on which bytes of answers wait for room in the caller's window.
+    /// Number of connections on which response bytes wait for space in the socket's send buffer.
     #[must_use]
     pub fn blocked_connections(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+        self.blocked.load(Ordering::Relaxed)
     }
 }
 
-/// A request under way; it is counted no more once its answer stands or its caller has left.
+/// Counts a request until its response is ready or its caller has disconnected.
 struct RunningRequest<'a>(&'a AtomicUsize);
 
 impl<'a> RunningRequest<'a> {
@@ -105,10 +105,10 @@
     }
 }
 
-/// Opens a listener that several threads may share.
+/// Opens a listener whose port several threads may share.
 ///
 /// # Errors
-/// The system's error, such as an address that is in use.
+/// The error of the system, such as an address that is in use.
 pub fn bind_listener(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -119,10 +119,10 @@
     Ok(socket.into())
 }
 
-/// Answers requests on a listener until the process is stopping.
+/// Serves requests on a listener until [`ServeState::stop`] is called.
 pub async fn serve_http<H, F>(
     listener: TcpListener,
-    connections_max: usize,
+    max_connections: usize,
     state: Arc<ServeState>,
     handler: H,
 ) where
@@ -133,14 +133,14 @@
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(IDLE_TIMEOUT))
         .client_request_timeout(HEAD_TIMEOUT)
-        // A caller that closes its side has left: its request's work ends at once.
+        // A caller that closes its side has disconnected, so its request is cancelled.
         .h1_allow_half_closed(false)
         .finish(fn_service(move |request: Request| {
-            let answering = handler(request);
+            let response = handler(request);
             let state = Arc::clone(&shared);
-            async move { Ok::<_, Infallible>(answer(answering, &state).await) }
+            async move { Ok::<_, Infallible>(respond(response, &state).await) }
         }));
-    // Only a listener outside a runtime fails here, and this function runs inside one.
+    // This only fails outside a runtime, and this function runs inside one.
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
@@ -152,26 +152,26 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // An error would mean that the state is gone, and this function holds it.
+            // The sender can't be dropped, because this function holds the state.
             _ = stopping.wait_for(|stopping| *stopping) => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors or alike: give the others time to end.
+            // Typically out of file descriptors: wait until other connections close.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if state.open_connections() >= connections_max {
+        if state.open_connections() >= max_connections {
             continue;
         }
-        // Without it small answers wait for acknowledgements; a failure only costs time.
+        // Nagle's algorithm would delay small responses; a failure only adds latency.
         let _ = stream.set_nodelay(true);
         let (service, state) = (Rc::clone(&service), Arc::clone(&state));
         state.open.fetch_add(1, Ordering::Relaxed);
         actix_rt::spawn(async move {
             if let Ok(protocol) = read_protocol(&stream).await {
                 let caller = stream.peer_addr().ok();
-                let stream = CallerStream::new(stream, Arc::clone(&state.waiting));
-                // A broken connection ends here; the caller sees it as such.
+                let stream = CallerStream::new(stream, Arc::clone(&state.blocked));
+                // The caller observes a lost connection itself.
                 let _ = service.call((stream, protocol, caller)).await;
             }
             state.open.fetch_sub(1, Ordering::Relaxed);
@@ -179,22 +179,22 @@
     }
 }
 
-/// The protocol that a caller speaks, by the first bytes that it sends.
+/// Detects a caller's protocol by the first bytes that it sends.
 async fn read_protocol(stream: &TcpStream) -> std::io::Result<actix_http::Protocol> {
-    let mut begin = [0; HTTP2_BEGIN.len()];
-    let length = stream.peek(&mut begin).await?;
-    Ok(match begin[..length] == *HTTP2_BEGIN {
+    let mut start = [0; HTTP2_PREFACE_START.len()];
+    let length = stream.peek(&mut start).await?;
+    Ok(match start[..length] == *HTTP2_PREFACE_START {
         true => actix_http::Protocol::Http2,
         false => actix_http::Protocol::Http1,
     })
 }
 
-async fn answer<F>(answering: F, state: &ServeState) -> Response<BoxBody>
+async fn respond<F>(response: F, state: &ServeState) -> Response<BoxBody>
 where
     F: Future<Output = Response<BoxBody>>,
 {
     let running = RunningRequest::new(&state.running);
-    let mut response = answering.await;
+    let mut response = response.await;
     drop(running);
     if state.is_stopping() || state.draining.load(Ordering::Relaxed) {
         response.head_mut().set_connection_type(ConnectionType::Close);
--- a/crates/nickellead_proxy/src/transport.rs
+++ b/crates/nickellead_proxy/src/transport.rs
@@ -1,8 +1,8 @@
-//! Connections to targets that tell a whole answer from one that broke off.
+//! Connections to targets that distinguish complete from truncated responses.
 //!
-//! The HTTP client ends an answer's body without an error when the connection
-//! ends before the last chunk. A whole body ends before the connection's end is
-//! read, so a body during whose last poll the end was read is not whole.
+//! The HTTP client ends a response body without an error if the connection ends before the last
+//! chunk. A complete body ends before the end of the connection is read, so a body is truncated if
+//! its last poll read the end of the connection.
 
 use std::cell::Cell;
 use std::io;
@@ -16,38 +16,39 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 thread_local! {
-    /// Whether the poll under way on this thread read the end of a connection.
-    static END_WAS_READ: Cell<bool> = const { Cell::new(false) };
+    /// Whether the current poll on this thread read the end of a connection.
+    static EOF_WAS_READ: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Runs one poll and tells whether it read the end of a connection.
-pub(crate) fn watch_end<T>(poll: impl FnOnce() -> T) -> (T, bool) {
-    END_WAS_READ.set(false);
+/// Runs one poll and returns whether it read the end of a connection.
+pub(crate) fn observe_eof<T>(poll: impl FnOnce() -> T) -> (T, bool) {
+    EOF_WAS_READ.set(false);
     let polled = poll();
-    (polled, END_WAS_READ.get())
+    (polled, EOF_WAS_READ.get())
 }
 
-/// A connection that notes when its end is read.
+/// Connection that records when its end is read.
 #[derive(Debug)]
-pub(crate) struct WatchedStream(TcpStream);
+pub(crate) struct EofObservingStream(TcpStream);
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for EofObservingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
-        let room = buffer.remaining() > 0;
+        let has_capacity = buffer.remaining() > 0;
         let polled = Pin::new(&mut self.0).poll_read(context, buffer);
-        if room && matches!(polled, Poll::Ready(Ok(()))) && buffer.filled().len() == before {
-            END_WAS_READ.set(true);
+        if has_capacity && matches!(polled, Poll::Ready(Ok(()))) && buffer.filled().len() == before
+        {
+            EOF_WAS_READ.set(true);
         }
         polled
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for EofObservingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -65,7 +66,7 @@
     }
 }
 
-impl ActixStream for WatchedStream {
+impl ActixStream for EofObservingStream {
     fn poll_read_ready(&self, context: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.0, context)
     }
@@ -75,15 +76,15 @@
     }
 }
 
-/// Makes connections to targets for the HTTP client.
-pub(crate) fn watched_connector()
--> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, WatchedStream>, Error = ConnectError>
+/// Connector of the HTTP client for connections to targets.
+pub(crate) fn eof_observing_connector()
+-> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, EofObservingStream>, Error = ConnectError>
 + Clone
 + 'static {
     ConnectorService::default().map(|connection: Connection<Uri, TcpStream>| {
         let (stream, request) = connection.into_parts();
-        // Without it small requests wait for acknowledgements; a failure only costs time.
+        // Nagle's algorithm would delay small requests; a failure only adds latency.
         let _ = stream.set_nodelay(true);
-        Connection::new(request, WatchedStream(stream))
+        Connection::new(request, EofObservingStream(stream))
     })
 }
--- a/crates/nickellead_proxy/src/worker.rs
+++ b/crates/nickellead_proxy/src/worker.rs
@@ -1,4 +1,4 @@
-//! One request worker: its table, its gates, and the tries of a request.
+//! Worker that routes the requests of one thread and retries failed attempts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,36 +20,36 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::answer::error_response;
-use crate::answer_body::AnswerBody;
 use crate::deadline::Deadline;
+use crate::error_response::error_response;
 use crate::exchange::{ExchangePlan, exchange};
-use crate::headers::is_passed;
-use crate::incoming::{PlannedCall, read_body};
+use crate::headers::is_forwarded;
+use crate::incoming::{IncomingRequest, read_body};
 use crate::metrics::ProxyMetrics;
-use crate::transport::watched_connector;
+use crate::response_body::ResponseBody;
+use crate::transport::eof_observing_connector;
 
-/// What reaches a worker over its ring.
+/// Update that a worker receives through its ring.
 #[derive(Clone, Debug)]
 pub enum WorkerUpdate {
-    /// New declarations.
+    /// New declarations, which replace the previous ones.
     Config(Arc<DeclaredConfig>),
-    /// New owners.
+    /// Changed owners of shards.
     Routes(Arc<[RouteChange]>),
 }
 
-/// Bounds of one worker.
+/// Limits of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyLimits {
-    /// Workers that share each target: over all VMs.
+    /// Number of workers that share the connections of each target, over all VMs.
     pub workers_per_target: u32,
-    /// Requests that may wait for a turn at one target.
+    /// Maximum number of requests that wait for a permit of one target.
     pub queue_per_target: u32,
-    /// Requests that may wait for moves to end, over all shards.
+    /// Maximum number of requests that wait for moves of shards, over all shards.
     pub move_waiters: u32,
-    /// Longest wait for a move to end.
+    /// Maximum time that a request waits for a move.
     pub move_timeout: Duration,
-    /// Connections from callers.
+    /// Maximum number of connections from callers.
     pub connections: usize,
 }
 
@@ -65,40 +65,40 @@
     }
 }
 
-/// One thread's part of the request path.
+/// Request path of one thread.
 pub struct ProxyWorker {
     limits: ProxyLimits,
     table: RefCell<RoutingTable>,
-    /// Whether any declarations are known.
+    /// Whether declarations have been received.
     configured: Cell<bool>,
     changed: Notify,
-    gates: RefCell<HashMap<TargetKey, ConcurrencyLimiter>>,
+    limiters: RefCell<HashMap<TargetKey, ConcurrencyLimiter>>,
     budget: RefCell<RetryBudget>,
     rng: RefCell<fastrand::Rng>,
-    movers: Cell<u32>,
+    move_waiters: Cell<u32>,
     next_id: Cell<u64>,
     client: Client,
     metrics: ProxyMetrics,
 }
 
-/// A request with all that its tries need.
-struct CallState<'a> {
-    call: PlannedCall,
+/// State of a request that its attempts share.
+struct RequestState<'a> {
+    incoming: IncomingRequest,
     head: &'a RequestHead,
     body: Bytes,
     deadline: Deadline,
-    /// Until when a move is waited for.
+    /// Deadline of waiting for a move.
     move_deadline: Deadline,
 }
 
-/// The head of a target's answer, with the turn that its body goes on to hold.
-struct TargetAnswer {
+/// Head of a target's response, with the permit that is held until the end of the body.
+struct TargetResponse {
     response: ClientResponse,
     permit: ConcurrencyPermit,
     deadline: Deadline,
 }
 
-/// One owner to try.
+/// Owner of a request's key, to which the next attempt is sent.
 #[derive(Clone)]
 struct OwnerChoice {
     shard: ShardIndex,
@@ -107,10 +107,10 @@
 }
 
 impl ProxyWorker {
-    /// A worker that knows no service yet.
+    /// Creates a worker without declarations.
     #[must_use]
     pub fn new(limits: ProxyLimits, seed: u64, metrics: ProxyMetrics) -> Rc<Self> {
-        let connector = awc::Connector::new().connector(watched_connector());
+        let connector = awc::Connector::new().connector(eof_observing_connector());
         let connector = connector.limit(0).timeout(Duration::from_millis(500));
         let client =
             Client::builder().connector(connector).disable_redirects().no_default_headers();
@@ -119,17 +119,17 @@
             table: RefCell::default(),
             configured: Cell::new(false),
             changed: Notify::new(),
-            gates: RefCell::default(),
+            limiters: RefCell::default(),
             budget: RefCell::default(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
-            movers: Cell::new(0),
+            move_waiters: Cell::new(0),
             next_id: Cell::new(seed << 20),
             client: client.finish(),
             metrics,
         })
     }
 
-    /// Takes over an update and wakes the requests that wait for one.
+    /// Applies an update and wakes the requests that wait for one.
     pub fn update(&self, update: &WorkerUpdate) {
         let mut table = self.table.borrow_mut();
         match update {
@@ -144,14 +144,14 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers one request of a caller.
+    /// Handles one request of a caller.
     pub async fn handle(&self, request: Request) -> Response<BoxBody> {
         self.metrics.requests.inc();
-        let _running = RunningCount::new(&self.metrics);
+        let _in_flight = InFlightGuard::new(&self.metrics);
         match self.serve(request).await {
             Ok(response) => {
-                self.metrics.answered.inc();
-                pass_on(response)
+                self.metrics.forwarded.inc();
+                forward(response)
             }
             Err(kind) => {
                 self.metrics.count_error(kind);
@@ -160,134 +160,136 @@
         }
     }
 
-    async fn serve(&self, mut request: Request) -> Result<TargetAnswer, ErrorKind> {
+    async fn serve(&self, mut request: Request) -> Result<TargetResponse, ErrorKind> {
         if !self.configured.get() {
             return Err(ErrorKind::NotConfigured);
         }
-        let call = PlannedCall::read(&request, &self.table.borrow())?;
-        let deadline = Deadline::after(call.deadline);
+        let incoming = IncomingRequest::read(&request, &self.table.borrow())?;
+        let deadline = Deadline::after(incoming.deadline);
         let body = match request.take_payload() {
             Payload::None => Bytes::new(),
             payload => {
-                let reading = timeout(deadline.left(), read_body(payload, call.body_limit));
+                let reading =
+                    timeout(deadline.remaining(), read_body(payload, incoming.body_limit));
                 reading.await.unwrap_or(Err(ErrorKind::BodyTruncated))?
             }
         };
         let move_deadline = deadline.or_after(self.limits.move_timeout);
-        let state = CallState { call, head: request.head(), body, deadline, move_deadline };
+        let state = RequestState { incoming, head: request.head(), body, deadline, move_deadline };
         self.budget.borrow_mut().record_request();
-        self.try_until_done(&state).await
+        self.send_until_done(&state).await
     }
 
-    /// Tries owners until one answered, or until another try may not be made.
-    async fn try_until_done(&self, state: &CallState<'_>) -> Result<TargetAnswer, ErrorKind> {
+    /// Sends a request until an owner responds or no further attempt is allowed.
+    async fn send_until_done(&self, state: &RequestState<'_>) -> Result<TargetResponse, ErrorKind> {
         let mut attempt = 0;
         loop {
             let choice = self.wait_for_owner(state).await?;
-            let kind = match self.try_once(state, &choice).await {
+            let kind = match self.send_once(state, &choice).await {
                 Ok(response) => return Ok(response),
                 Err(kind) => kind,
             };
             attempt += 1;
-            if !self.may_repeat(state, kind, attempt) {
+            if !self.may_retry(state, kind, attempt) {
                 return Err(kind);
             }
             self.metrics.retries.inc();
-            self.wait_between(state, attempt).await;
+            self.wait_before_retry(state, attempt).await;
         }
     }
 
-    async fn try_once(
+    async fn send_once(
         &self,
-        state: &CallState<'_>,
+        state: &RequestState<'_>,
         choice: &OwnerChoice,
-    ) -> Result<TargetAnswer, ErrorKind> {
-        let gate = self.gate(&choice.target);
-        let permit = match gate.try_acquire() {
+    ) -> Result<TargetResponse, ErrorKind> {
+        let limiter = self.limiter(&choice.target);
+        let permit = match limiter.try_acquire() {
             Some(permit) => permit,
-            None => self.wait_for_turn(state, choice, &gate).await?,
+            None => self.wait_for_permit(state, choice, &limiter).await?,
         };
         let plan = ExchangePlan {
             target: &choice.target,
             shard: choice.shard,
             epoch: choice.epoch,
-            request_id: self.take_id(),
+            request_id: self.next_request_id(),
             deadline: state.deadline,
         };
         let response = exchange(&self.client, state.head, state.body.clone(), plan).await?;
-        Ok(TargetAnswer { response, permit, deadline: state.deadline })
+        Ok(TargetResponse { response, permit, deadline: state.deadline })
     }
 
-    async fn wait_for_turn(
+    async fn wait_for_permit(
         &self,
-        state: &CallState<'_>,
+        state: &RequestState<'_>,
         choice: &OwnerChoice,
-        gate: &ConcurrencyLimiter,
+        limiter: &ConcurrencyLimiter,
     ) -> Result<ConcurrencyPermit, ErrorKind> {
-        let entering = timeout(state.deadline.left(), gate.acquire(state.call.urgency)).await;
-        let permit = entering.unwrap_or(Err(ErrorKind::DeadlineTooShort))?;
-        // The owner may have changed while this request waited for its turn.
-        match self.owner_now(&state.call)? {
-            Some(now) if now.epoch == choice.epoch => Ok(permit),
+        let acquired =
+            timeout(state.deadline.remaining(), limiter.acquire(state.incoming.urgency)).await;
+        let permit = acquired.unwrap_or(Err(ErrorKind::DeadlineTooShort))?;
+        // The owner may have changed while the request waited for the permit.
+        match self.current_owner(&state.incoming)? {
+            Some(owner) if owner.epoch == choice.epoch => Ok(permit),
             _ => Err(ErrorKind::TargetRefused),
         }
     }
 
-    /// Whether a request may be sent again after this error.
-    fn may_repeat(&self, state: &CallState<'_>, kind: ErrorKind, attempt: u32) -> bool {
-        const ATTEMPTS_MAX: u32 = 8;
-        if attempt >= ATTEMPTS_MAX || state.deadline.is_over() {
+    /// Returns whether a request may be sent again after this error.
+    fn may_retry(&self, state: &RequestState<'_>, kind: ErrorKind, attempt: u32) -> bool {
+        const MAX_ATTEMPTS: u32 = 8;
+        if attempt >= MAX_ATTEMPTS || state.deadline.has_passed() {
             return false;
         }
         match (kind.response().outcome, kind) {
-            // Ownership changed: the new owner is not loaded by this try.
-            (_, ErrorKind::TargetRefused) => !state.move_deadline.is_over(),
+            // Ownership changed, and the attempt does not load the new owner.
+            (_, ErrorKind::TargetRefused) => !state.move_deadline.has_passed(),
             (OutcomeClass::NotRun, ErrorKind::TargetBusy | ErrorKind::TargetUnreachable) => {
                 attempt < 3 && self.budget.borrow_mut().try_take()
             }
             (OutcomeClass::NotRun, _) => false,
             (OutcomeClass::Unknown, _) => {
-                let repeatable = state.call.repeat == RepeatRule::Repeatable;
+                let repeatable = state.incoming.repeat == RepeatRule::Repeatable;
                 repeatable && attempt < 3 && self.budget.borrow_mut().try_take()
             }
         }
     }
 
-    /// Waits a little, but no longer than until the routes change.
-    async fn wait_between(&self, state: &CallState<'_>, attempt: u32) {
-        let pause = backoff(attempt, &mut self.rng.borrow_mut()).min(state.deadline.left());
-        // Running out of time is what the pause is for.
-        let _ = timeout(pause, self.changed.notified()).await;
+    /// Waits for the backoff or until the routes change.
+    async fn wait_before_retry(&self, state: &RequestState<'_>, attempt: u32) {
+        let delay = backoff(attempt, &mut self.rng.borrow_mut()).min(state.deadline.remaining());
+        // A timeout is the normal end of the backoff.
+        let _ = timeout(delay, self.changed.notified()).await;
     }
 
-    async fn wait_for_owner(&self, state: &CallState<'_>) -> Result<OwnerChoice, ErrorKind> {
-        if let Some(choice) = self.owner_now(&state.call)? {
+    async fn wait_for_owner(&self, state: &RequestState<'_>) -> Result<OwnerChoice, ErrorKind> {
+        if let Some(choice) = self.current_owner(&state.incoming)? {
             return Ok(choice);
         }
-        if self.movers.get() >= self.limits.move_waiters {
+        if self.move_waiters.get() >= self.limits.move_waiters {
             return Err(ErrorKind::QueueFull);
         }
-        self.metrics.waited.inc();
-        let _mover = MoverCount::new(&self.movers);
-        let waiting = self.wait_for_change(&state.call);
-        let waited = timeout(state.move_deadline.left(), waiting).await;
+        self.metrics.waited_for_owner.inc();
+        let _waiter = MoveWaitGuard::new(&self.move_waiters);
+        let waiting = self.wait_for_change(&state.incoming);
+        let waited = timeout(state.move_deadline.remaining(), waiting).await;
         waited.unwrap_or(Err(ErrorKind::MoveTooLong))
     }
 
-    async fn wait_for_change(&self, call: &PlannedCall) -> Result<OwnerChoice, ErrorKind> {
+    async fn wait_for_change(&self, incoming: &IncomingRequest) -> Result<OwnerChoice, ErrorKind> {
         loop {
             let changed = self.changed.notified();
-            if let Some(choice) = self.owner_now(call)? {
+            if let Some(choice) = self.current_owner(incoming)? {
                 return Ok(choice);
             }
             changed.await;
         }
     }
 
-    /// The owner, or `None` while the shard moves.
-    fn owner_now(&self, call: &PlannedCall) -> Result<Option<OwnerChoice>, ErrorKind> {
+    /// Returns the owner, or `None` while the shard moves.
+    fn current_owner(&self, incoming: &IncomingRequest) -> Result<Option<OwnerChoice>, ErrorKind> {
         let table = self.table.borrow();
-        let decision = call.decide(&table)?;
+        let decision = incoming.decide(&table)?;
         match decision.owner {
             OwnerRoute::Unowned => Err(ErrorKind::OwnerUnknown),
             OwnerRoute::Moving => Ok(None),
@@ -298,29 +300,31 @@
         }
     }
 
-    fn gate(&self, target: &TargetRoute) -> ConcurrencyLimiter {
-        let share = u32::from(target.connections).div_ceil(self.limits.workers_per_target.max(1));
-        let mut gates = self.gates.borrow_mut();
-        let gate = gates.entry(target.key);
-        gate.or_insert_with(|| ConcurrencyLimiter::new(share, self.limits.queue_per_target)).clone()
+    fn limiter(&self, target: &TargetRoute) -> ConcurrencyLimiter {
+        let quota = u32::from(target.connections).div_ceil(self.limits.workers_per_target.max(1));
+        let mut limiters = self.limiters.borrow_mut();
+        let entry = limiters.entry(target.key);
+        entry
+            .or_insert_with(|| ConcurrencyLimiter::new(quota, self.limits.queue_per_target))
+            .clone()
     }
 
-    fn take_id(&self) -> u64 {
+    fn next_request_id(&self) -> u64 {
         let id = self.next_id.get();
         self.next_id.set(id.wrapping_add(1));
         id
     }
 }
 
-/// Passes a target's answer on, streaming its body; a truncated body stays truncated.
-fn pass_on(answer: TargetAnswer) -> Response<BoxBody> {
-    let TargetAnswer { response, permit, deadline } = answer;
+/// Forwards a target's response and streams its body; a truncated body stays truncated.
+fn forward(target_response: TargetResponse) -> Response<BoxBody> {
+    let TargetResponse { response, permit, deadline } = target_response;
     let mut builder = Response::build(response.status());
-    for (name, value) in response.headers().iter().filter(|(name, _)| is_passed(name)) {
+    for (name, value) in response.headers().iter().filter(|(name, _)| is_forwarded(name)) {
         builder.append_header((name.clone(), value.clone()));
     }
     let size = declared_size(&response);
-    let body = AnswerBody::new(response, permit, deadline);
+    let body = ResponseBody::new(response, permit, deadline);
     match size {
         BodySize::Sized(size) => builder.body(SizedStream::new(size, body)).map_into_boxed_body(),
         _ => builder.body(BodyStream::new(body)).map_into_boxed_body(),
@@ -333,33 +337,33 @@
     length.map_or(BodySize::Stream, BodySize::Sized)
 }
 
-/// Counts one request under way, also when its future is dropped.
-struct RunningCount<'a>(&'a ProxyMetrics);
+/// Counts a request in flight until it is dropped, also if its future is cancelled.
+struct InFlightGuard<'a>(&'a ProxyMetrics);
 
-impl<'a> RunningCount<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(metrics: &'a ProxyMetrics) -> Self {
-        metrics.running.inc();
+        metrics.in_flight.inc();
         Self(metrics)
     }
 }
 
-impl Drop for RunningCount<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.0.running.dec();
+        self.0.in_flight.dec();
     }
 }
 
-/// Counts one request that waits for a move, also when its future is dropped.
-struct MoverCount<'a>(&'a Cell<u32>);
+/// Counts a request that waits for a move until it is dropped, also if its future is cancelled.
+struct MoveWaitGuard<'a>(&'a Cell<u32>);
 
-impl<'a> MoverCount<'a> {
+impl<'a> MoveWaitGuard<'a> {
     fn new(count: &'a Cell<u32>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for MoverCount<'_> {
+impl Drop for MoveWaitGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
