--- a/crates/nickellead_proxy/tests/exchange.rs
+++ b/crates/nickellead_proxy/tests/exchange.rs
@@ -1,6 +1,6 @@
-//! What callers are told when the connection to a target breaks, byte by byte.
+//! Responses to callers when targets fail, time out or send malformed bytes.
 //!
-//! The target here is a raw socket that says exactly what the test wants.
+//! The target is a raw socket that sends exactly the bytes that a test specifies.
 #![allow(clippy::unwrap_used)]
 
 use std::io::{Read, Write};
@@ -16,14 +16,14 @@
     ProxyLimits, ProxyMetrics, ProxyWorker, ServeState, WorkerUpdate, bind_listener, serve_http,
 };
 
-/// How a raw target treats one connection, given the request that it read.
+/// Behavior of a raw target on one connection, given the request that it read.
 type Script = Box<dyn Fn(&mut TcpStream, &str) + Send>;
 
 fn name(text: &str) -> Name {
     Name::new(text).unwrap()
 }
 
-/// A raw target; returns its address and what it read from each connection.
+/// Starts a raw target; returns its address and the requests that it reads.
 fn raw_target(script: Script) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -50,7 +50,7 @@
             "operations": [{"name": "book", "method": "POST", "repeat": "once",
                             "deadline_ms": 400}]}"#,
     );
-    let spec_of_target = format!(
+    let target_spec = format!(
         r#"{{"service": "boards", "zone": "zone-a", "address": "{target}", "slots": 4,
             "connections": 130}}"#
     );
@@ -64,12 +64,12 @@
         targets: vec![DeclaredTarget {
             name: name("board-0"),
             version: Version(1),
-            spec: serde_json::from_str(&spec_of_target).unwrap(),
+            spec: serde_json::from_str(&target_spec).unwrap(),
         }],
     }
 }
 
-/// A worker in front of one target, for as long as the test runs.
+/// Runs a worker in front of one target until the test process ends.
 fn router(target: SocketAddr) -> SocketAddr {
     let owner = ShardOwner::Target { target: TargetKey::from(&name("board-0")), epoch: Epoch(3) };
     let service = ServiceKey::from(&name("boards"));
@@ -78,7 +78,7 @@
     run_worker(vec![config, WorkerUpdate::Routes(vec![change].into())])
 }
 
-/// Runs a worker that has been told these updates, for as long as the test runs.
+/// Runs a worker with these updates until the test process ends.
 fn run_worker(updates: Vec<WorkerUpdate>) -> SocketAddr {
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = listener.local_addr().unwrap();
@@ -96,32 +96,32 @@
     address
 }
 
-/// A VM that has just started said that the service does not exist, and its caller gave up.
+/// Guards against a VM that has just started reporting that the service does not exist.
 #[test]
-fn a_worker_that_knows_no_declarations_says_so() {
-    let answer = book(run_worker(Vec::new()));
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.contains("not-configured") && answer.contains("retry-after"), "{answer}");
+fn a_worker_without_declarations_responds_not_configured() {
+    let response = book(run_worker(Vec::new()));
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("not-configured") && response.contains("retry-after"), "{response}");
 }
 
 fn send(router: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(router).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = Vec::new();
-    // A connection that breaks off gives what came before; one that hangs fails the test.
-    if let Err(error) = stream.read_to_end(&mut answer) {
+    let mut response = Vec::new();
+    // A lost connection returns the bytes before it; one that hangs fails the test.
+    if let Err(error) = stream.read_to_end(&mut response) {
         assert_ne!(error.kind(), std::io::ErrorKind::WouldBlock, "the router holds the connection");
     }
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 fn book(router: SocketAddr) -> String {
     send(router, "POST /boards/book/key-1 HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n")
 }
 
-/// A whole answer to a request, with the number that the request carries.
-fn whole_answer(request: &str) -> String {
+/// A complete response to a request, with the identifier of the request.
+fn complete_response(request: &str) -> String {
     let id = request.lines().find_map(|line| line.strip_prefix("nickellead-request-id: "));
     format!(
         "HTTP/1.1 200 OK\r\nnickellead-request-id: {}\r\ncontent-length: 5\r\n\r\nhello",
@@ -129,102 +129,103 @@
     )
 }
 
-fn is_not_run(answer: &str) -> bool {
-    answer.contains("nickellead-outcome: not-run")
+fn is_not_run(response: &str) -> bool {
+    response.contains("nickellead-outcome: not-run")
 }
 
-/// Once a request was handed to a connection, only the target can prove that
-/// it did not run: a connection that breaks leaves it unknown.
+/// Once a request was written to a connection, only the target can tell that it did not run, so a
+/// lost connection must leave the outcome unknown.
 #[test]
-fn an_answer_cut_at_any_byte_is_never_whole_and_never_called_not_run() {
-    let length = whole_answer("nickellead-request-id: 1048576").len();
+fn a_truncated_response_is_never_complete_and_never_not_run() {
+    let length = complete_response("nickellead-request-id: 1048576").len();
     let (sender, cuts) = channel::<usize>();
     let cuts = std::sync::Mutex::new(cuts);
     let (target, requests) = raw_target(Box::new(move |stream, request| {
         let cut = cuts.lock().unwrap().recv().unwrap();
-        let answer = whole_answer(request);
-        let _ = stream.write_all(&answer.as_bytes()[..cut.min(answer.len())]);
+        let response = complete_response(request);
+        let _ = stream.write_all(&response.as_bytes()[..cut.min(response.len())]);
     }));
     let router = router(target);
     for cut in 0..length {
         sender.send(cut).unwrap();
-        let answer = book(router);
+        let response = book(router);
         let request = requests.recv_timeout(Duration::from_secs(5)).unwrap();
-        assert!(!is_not_run(&answer), "cut at {cut}: {answer}");
-        if cut < whole_answer(&request).len() {
-            assert!(!answer.ends_with("hello"), "cut at {cut}: {answer}");
+        assert!(!is_not_run(&response), "cut at {cut}: {response}");
+        if cut < complete_response(&request).len() {
+            assert!(!response.ends_with("hello"), "cut at {cut}: {response}");
         }
     }
     sender.send(usize::MAX).unwrap();
-    let answer = book(router);
-    assert!(answer.ends_with("hello"), "{answer}");
+    let response = book(router);
+    assert!(response.ends_with("hello"), "{response}");
 }
 
-/// The same for an answer in chunks, whose end only the last chunk tells.
+/// Only the last chunk marks the end of a chunked response.
 #[test]
-fn an_answer_in_chunks_cut_at_any_byte_is_never_whole() {
+fn a_truncated_chunked_response_is_never_complete() {
     let chunks = "5\r\nhello\r\n0\r\n\r\n";
     let (sender, cuts) = channel::<usize>();
     let cuts = std::sync::Mutex::new(cuts);
     let (target, requests) = raw_target(Box::new(move |stream, request| {
         let cut = cuts.lock().unwrap().recv().unwrap();
-        let head = whole_answer(request).replace("content-length: 5", "transfer-encoding: chunked");
+        let head =
+            complete_response(request).replace("content-length: 5", "transfer-encoding: chunked");
         let head = head.strip_suffix("hello").unwrap();
         let _ = stream.write_all(format!("{head}{}", &chunks[..cut]).as_bytes());
     }));
     let router = router(target);
     for cut in 0..chunks.len() {
         sender.send(cut).unwrap();
-        let answer = book(router);
+        let response = book(router);
         requests.recv_timeout(Duration::from_secs(5)).unwrap();
-        assert!(!answer.ends_with("0\r\n\r\n"), "cut at {cut}: {answer}");
+        assert!(!response.ends_with("0\r\n\r\n"), "cut at {cut}: {response}");
     }
     sender.send(chunks.len()).unwrap();
     assert!(book(router).ends_with("0\r\n\r\n"));
 }
 
 #[test]
-fn a_connection_that_was_never_made_is_not_run() {
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let answer = book(router(nobody));
-    assert!(is_not_run(&answer), "{answer}");
-    assert!(answer.contains("nickellead-error: target-unreachable"), "{answer}");
-    assert!(answer.contains("retry-after:"), "{answer}");
+fn a_refused_connection_is_not_run() {
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let response = book(router(unused));
+    assert!(is_not_run(&response), "{response}");
+    assert!(response.contains("nickellead-error: target-unreachable"), "{response}");
+    assert!(response.contains("retry-after:"), "{response}");
 }
 
 #[test]
-fn an_answer_with_another_requests_number_reaches_nobody() {
+fn a_response_with_another_request_id_is_rejected() {
     let (target, _requests) = raw_target(Box::new(|stream, _| {
-        let other = whole_answer("nickellead-request-id: 17");
+        let other = complete_response("nickellead-request-id: 17");
         let _ = stream.write_all(other.as_bytes());
     }));
-    let answer = book(router(target));
-    assert!(answer.contains("nickellead-error: answer-malformed"), "{answer}");
-    assert!(!answer.contains("hello"), "{answer}");
+    let response = book(router(target));
+    assert!(response.contains("nickellead-error: answer-malformed"), "{response}");
+    assert!(!response.contains("hello"), "{response}");
 }
 
 #[test]
-fn a_silent_target_is_given_up_at_the_deadline_as_unknown() {
+fn a_silent_target_times_out_at_the_deadline_as_unknown() {
     let (sender, held) = channel::<TcpStream>();
     let (target, _requests) = raw_target(Box::new(move |stream, _| {
         sender.send(stream.try_clone().unwrap()).unwrap();
     }));
-    let answer = book(router(target));
-    assert!(answer.contains("nickellead-error: answer-late"), "{answer}");
-    assert!(answer.contains("nickellead-outcome: unknown"), "{answer}");
+    let response = book(router(target));
+    assert!(response.contains("nickellead-error: answer-late"), "{response}");
+    assert!(response.contains("nickellead-outcome: unknown"), "{response}");
     drop(held);
 }
 
 #[test]
-fn an_answer_that_stalls_in_its_body_is_broken_off_at_the_deadline() {
+fn a_response_that_stalls_in_its_body_is_aborted_at_the_deadline() {
     let (sender, held) = channel::<TcpStream>();
     let (target, _requests) = raw_target(Box::new(move |stream, request| {
-        let part = whole_answer(request);
+        let part = complete_response(request);
         let _ = stream.write_all(part.strip_suffix("lo").unwrap().as_bytes());
         sender.send(stream.try_clone().unwrap()).unwrap();
     }));
-    let answer = book(router(target));
-    assert!(answer.ends_with("hel"), "not broken off: {answer}");
+    let response = book(router(target));
+    assert!(response.ends_with("hel"), "not aborted: {response}");
     drop(held);
 }
 
@@ -233,12 +234,12 @@
     let (target, _requests) = raw_target(Box::new(|stream, _| {
         let _ = stream.write_all(b"\x00\xff no http at all\r\n\r\n");
     }));
-    let answer = book(router(target));
-    assert!(answer.contains("nickellead-outcome: unknown"), "{answer}");
+    let response = book(router(target));
+    assert!(response.contains("nickellead-outcome: unknown"), "{response}");
 }
 
 #[test]
-fn a_targets_refusal_is_not_run_and_its_headers_stay_inside() {
+fn a_refusal_is_not_run_and_internal_headers_are_not_forwarded() {
     let (target, requests) = raw_target(Box::new(|stream, request| {
         let id = request.lines().find_map(|line| line.strip_prefix("nickellead-request-id: "));
         let id = id.unwrap();
@@ -251,9 +252,9 @@
     let router = router(target);
     let forged = "POST /boards/book/key-1 HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\
                   nickellead-epoch: 99\r\nnickellead-shard: 7\r\n\r\n";
-    let answer = send(router, forged);
-    assert!(is_not_run(&answer), "{answer}");
-    assert!(answer.contains("nickellead-error: target-busy"), "{answer}");
+    let response = send(router, forged);
+    assert!(is_not_run(&response), "{response}");
+    assert!(response.contains("nickellead-error: target-busy"), "{response}");
     let request = requests.recv_timeout(Duration::from_secs(5)).unwrap();
     assert!(request.contains("nickellead-epoch: 3\r\n"), "{request}");
     assert!(
@@ -263,9 +264,9 @@
 }
 
 #[test]
-fn bad_requests_get_a_clear_answer_and_reach_no_target() {
+fn invalid_requests_are_rejected_and_reach_no_target() {
     let (target, requests) = raw_target(Box::new(|stream, request| {
-        let _ = stream.write_all(whole_answer(request).as_bytes());
+        let _ = stream.write_all(complete_response(request).as_bytes());
     }));
     let router = router(target);
     let long_key = "k".repeat(600);
@@ -288,17 +289,17 @@
         ),
     ];
     for (request, code) in cases {
-        let answer = send(router, &request);
-        assert!(answer.contains(&format!("nickellead-error: {code}\r\n")), "{code}: {answer}");
-        assert!(answer.starts_with("HTTP/1.1 4") && is_not_run(&answer), "{code}: {answer}");
+        let response = send(router, &request);
+        assert!(response.contains(&format!("nickellead-error: {code}\r\n")), "{code}: {response}");
+        assert!(response.starts_with("HTTP/1.1 4") && is_not_run(&response), "{code}: {response}");
     }
-    assert!(requests.try_recv().is_err(), "a bad request reached the target");
+    assert!(requests.try_recv().is_err(), "an invalid request reached the target");
 }
 
 #[test]
 fn callers_may_speak_http_2() {
     let (target, _requests) = raw_target(Box::new(|stream, request| {
-        let _ = stream.write_all(whole_answer(request).as_bytes());
+        let _ = stream.write_all(complete_response(request).as_bytes());
     }));
     let router = router(target);
     let (status, body) = actix_rt::Runtime::new().unwrap().block_on(async move {
@@ -309,10 +310,10 @@
         });
         let mut sender = sender.ready().await.unwrap();
         let request = http::Request::post(format!("http://{router}/boards/book/key-1"));
-        let (answer, _) = sender.send_request(request.body(()).unwrap(), true).unwrap();
-        let answer = answer.await.unwrap();
-        let status = answer.status();
-        (status, answer.into_body().data().await.unwrap().unwrap())
+        let (response, _) = sender.send_request(request.body(()).unwrap(), true).unwrap();
+        let response = response.await.unwrap();
+        let status = response.status();
+        (status, response.into_body().data().await.unwrap().unwrap())
     });
     assert_eq!((status.as_u16(), &body[..]), (200, &b"hello"[..]));
 }
