--- a/crates/nickellead_api/src/lib.rs
+++ b/crates/nickellead_api/src/lib.rs
@@ -4,14 +4,14 @@
 //! and the system writes statuses. Validation errors name the invalid field and how to correct it.
 
 mod config;
+mod json;
 mod object;
-mod read;
 mod service;
 mod target;
 
 pub use config::{DeclaredConfig, DeclaredService, DeclaredTarget};
+pub use json::{FieldError, read_json};
 pub use object::{ObjectKind, ResourceObject};
-pub use read::{FieldError, read_json};
 pub use service::{
     FencingMode, IsolationPolicy, KeySource, OperationSpec, PolicyWeights, RepeatRule, ServiceSpec,
     UrgencyClass, zone_range,
