--- a/crates/nickellead_proxy/src/metrics.rs
+++ b/crates/nickellead_proxy/src/metrics.rs
@@ -27,7 +27,7 @@
     /// Attempts after the first one of a request.
     pub retries: Counter,
     /// Requests that waited until their shard had an owner.
-    pub waited_for_owner: Counter,
+    pub owner_waits: Counter,
     errors: Arc<Family<KindLabel, Counter>>,
 }
 
@@ -41,22 +41,10 @@
     /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("requests", "Requests from callers", self.requests.clone());
-        registry.register(
-            "answered",
-            "Responses of targets forwarded to callers",
-            self.forwarded.clone(),
-        );
+        registry.register("answered", "Target responses forwarded", self.forwarded.clone());
         registry.register("running", "Requests that are being handled", self.in_flight.clone());
-        registry.register(
-            "retries",
-            "Attempts after the first one of a request",
-            self.retries.clone(),
-        );
-        registry.register(
-            "waited",
-            "Requests that waited for an owner",
-            self.waited_for_owner.clone(),
-        );
+        registry.register("retries", "Attempts after the first", self.retries.clone());
+        registry.register("waited", "Requests that waited for an owner", self.owner_waits.clone());
         registry.register("errors", "Error responses of the router itself", (*self.errors).clone());
     }
 }
--- a/crates/nickellead_proxy/src/worker.rs
+++ b/crates/nickellead_proxy/src/worker.rs
@@ -269,7 +269,7 @@
         if self.move_waiters.get() >= self.limits.move_waiters {
             return Err(ErrorKind::QueueFull);
         }
-        self.metrics.waited_for_owner.inc();
+        self.metrics.owner_waits.inc();
         let _waiter = MoveWaitGuard::new(&self.move_waiters);
         let waiting = self.wait_for_change(&state.incoming);
         let waited = timeout(state.move_deadline.remaining(), waiting).await;
