--- a/crates/nickellead_report/src/burn.rs
+++ b/crates/nickellead_report/src/burn.rs
@@ -1,7 +1,7 @@
-//! How fast each route spends what its objective allows to fail.
+//! Burn rates: how fast each route consumes the error budget of its objective.
 //!
-//! A burn of 1 spends exactly the allowance; 10 spends it ten times as fast. A
-//! long and a short window together tell a fault that goes on from one that is over.
+//! A burn rate of 1 consumes exactly the budget, a rate of 10 ten times as much. A
+//! long and a short window together distinguish an ongoing fault from a past one.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,52 +11,52 @@
 
 use crate::LogLine;
 
-/// What is counted against.
+/// Objective and windows of a burn report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BurnSettings {
-    /// Part of the requests that must be answered, above 0 and below 1.
+    /// Fraction of requests that must be answered, above 0 and below 1.
     pub objective: f64,
-    /// Lengths of the windows, in seconds; all end with the newest line.
+    /// Durations of the windows in seconds; every window ends at the newest line.
     pub windows_s: Vec<f64>,
 }
 
-/// One window of one route.
+/// Counts and burn rate of one route over one window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BurnWindow {
-    /// Its length in seconds.
+    /// Duration of the window in seconds.
     pub window_s: f64,
-    /// Requests answered; estimated from the sampled lines.
+    /// Answered requests, estimated from the sampled lines.
     pub answered: u64,
-    /// Requests refused or failed; every one is logged.
+    /// Refused and failed requests, each of which is logged.
     pub failed: u64,
-    /// How many times as fast as allowed the objective is spent.
+    /// Burn rate: error fraction divided by the fraction that the objective allows.
     pub burn: f64,
 }
 
-/// All windows of one route.
+/// Burn rates of one route.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RouteBurn {
-    /// The route.
+    /// Name of the route in the log lines.
     pub route: String,
-    /// Its windows, in the order of the settings.
+    /// One entry per window, in the order of the settings.
     pub windows: Vec<BurnWindow>,
 }
 
-/// The burn of all routes.
+/// Burn rates of all routes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BurnReport {
-    /// Part of the requests that must be answered.
+    /// Fraction of requests that must be answered.
     pub objective: f64,
-    /// Every route that the lines name.
+    /// Routes that appear in the lines, sorted by name.
     pub routes: Vec<RouteBurn>,
-    /// Lines that were dropped; failures may be missing then.
+    /// Number of dropped log lines; above 0, failures may be missing.
     pub lines_dropped: u64,
 }
 
-/// Counts the lines of request outcomes by route and window.
+/// Computes burn rates per route and window from the lines of request outcomes.
 #[must_use]
 pub fn report_burn(lines: &[LogLine], settings: &BurnSettings) -> BurnReport {
-    let end = lines.iter().map(|line| line.at).fold(0.0, f64::max);
+    let end_s = lines.iter().map(|line| line.at).fold(0.0, f64::max);
     let mut by_route: BTreeMap<&str, Vec<&LogLine>> = BTreeMap::new();
     for line in lines {
         let outcome = matches!(line.event, EventName::RequestAnswered | EventName::RequestFailed);
@@ -69,23 +69,23 @@
         windows: settings
             .windows_s
             .iter()
-            .map(|window| count_window(&lines, end, *window, settings.objective))
+            .map(|window| count_window(&lines, end_s, *window, settings.objective))
             .collect(),
     });
-    let dropped = |line: &LogLine| match line.event {
+    let dropped_lines = |line: &LogLine| match line.event {
         EventName::LinesDropped => line.field("count")?.parse::<u64>().ok(),
         _ => None,
     };
     BurnReport {
         objective: settings.objective,
         routes: routes.collect(),
-        lines_dropped: lines.iter().filter_map(dropped).sum(),
+        lines_dropped: lines.iter().filter_map(dropped_lines).sum(),
     }
 }
 
-fn count_window(lines: &[&LogLine], end: f64, window_s: f64, objective: f64) -> BurnWindow {
+fn count_window(lines: &[&LogLine], end_s: f64, window_s: f64, objective: f64) -> BurnWindow {
     let (mut answered, mut failed) = (0, 0);
-    for line in lines.iter().filter(|line| line.at > end - window_s) {
+    for line in lines.iter().filter(|line| line.at > end_s - window_s) {
         let server_error = line.field("status").is_some_and(|status| status.starts_with('5'));
         match (line.event, server_error) {
             (EventName::RequestAnswered, false) => answered += REQUEST_ANSWERED_SAMPLE_INTERVAL,
@@ -93,9 +93,9 @@
             _ => failed += 1,
         }
     }
-    let all = answered + failed;
-    let part = if all == 0 { 0.0 } else { failed as f64 / all as f64 };
-    BurnWindow { window_s, answered, failed, burn: part / (1.0 - objective) }
+    let total = answered + failed;
+    let error_fraction = if total == 0 { 0.0 } else { failed as f64 / total as f64 };
+    BurnWindow { window_s, answered, failed, burn: error_fraction / (1.0 - objective) }
 }
 
 impl fmt::Display for BurnReport {
--- a/crates/nickellead_report/tests/burns.rs
+++ b/crates/nickellead_report/tests/burns.rs
@@ -1,9 +1,9 @@
-//! Burn rates on known figures.
+//! Burn rates of logs with known counts.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_report::{BurnSettings, read_lines, report_burn};
 
-/// Ten sampled answers are 640; 6 failures in the last minute, 10 before.
+/// Ten sampled answers stand for 640; 10 failures early and 6 at the end.
 fn logs() -> String {
     let answered = |at: u32| {
         format!("{at} vm event=request-answered request=a route=pay status=200 after_ms=1\n")
