--- a/crates/nickellead_report/src/line.rs
+++ b/crates/nickellead_report/src/line.rs
@@ -1,27 +1,27 @@
-//! Reading log lines back.
+//! Parser of log lines.
 
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
 
 use nickellead_event::EventName;
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// When it was written, in seconds; 0 where the line has no time.
+    /// Time of the line in seconds, 0 if it has none.
     pub at: f64,
-    /// Which VM wrote it, if whoever collected the logs put the name before the event.
+    /// VM that wrote the line, if the collector put its name before the event.
     pub vm: Option<String>,
-    /// What it is about.
+    /// Event of the line.
     pub event: EventName,
-    /// Its pairs.
+    /// Fields of the event, without `event` itself.
     pub fields: BTreeMap<String, String>,
-    /// The line as it stands.
+    /// Unparsed line without trailing whitespace.
     pub text: String,
 }
 
 impl LogLine {
-    /// Reads one line; `None` for text that is no event of ours.
+    /// Parses a line; returns `None` if it holds no known event.
     #[must_use]
     pub fn read(text: &str) -> Option<Self> {
         let start = match text.starts_with("event=") {
@@ -33,19 +33,19 @@
         let event = EventName::parse(&fields.remove("event")?)?;
         let words = || head.split_whitespace();
         let at = words().find_map(read_time).unwrap_or_default();
-        let name = |word: &&str| !word.starts_with('[') && read_time(word).is_none();
-        let vm = words().find(name).map(|word| word.trim_end_matches(':').to_owned());
+        let is_name = |word: &&str| !word.starts_with('[') && read_time(word).is_none();
+        let vm = words().find(is_name).map(|word| word.trim_end_matches(':').to_owned());
         Some(Self { at, vm, event, fields, text: text.trim_end().to_owned() })
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 }
 
-/// Reads the lines of all logs, in order of time.
+/// Parses the lines of all logs and sorts them by time.
 #[must_use]
 pub fn read_lines<'a>(texts: impl IntoIterator<Item = &'a str>) -> Vec<LogLine> {
     let mut lines: Vec<LogLine> =
@@ -54,7 +54,7 @@
     lines
 }
 
-/// Seconds since a test began, or a date and time.
+/// Parses a time: seconds since the start of a test, or an RFC 3339 date and time.
 fn read_time(word: &str) -> Option<f64> {
     if let Ok(seconds) = word.parse::<f64>() {
         return Some(seconds);
@@ -63,7 +63,7 @@
     Some(time.duration_since(UNIX_EPOCH).ok()?.as_secs_f64())
 }
 
-/// The pairs of an event; a quoted value may hold blanks.
+/// Parses the `key=value` pairs of an event; a quoted value may contain spaces.
 fn read_pairs(body: &str) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
     let mut rest = body.trim();
@@ -81,18 +81,18 @@
     pairs
 }
 
-/// The text up to the closing quote with its escapes undone, and what follows.
+/// Unescapes the text up to the closing quote; returns it with the remaining text.
 fn read_quoted(text: &str) -> (String, &str) {
     let mut value = String::new();
-    let mut letters = text.char_indices();
-    while let Some((place, letter)) = letters.next() {
-        match letter {
-            '"' => return (value, &text[place + 1..]),
-            '\\' => match letters.next() {
+    let mut chars = text.char_indices();
+    while let Some((index, ch)) = chars.next() {
+        match ch {
+            '"' => return (value, &text[index + 1..]),
+            '\\' => match chars.next() {
                 Some((_, 'n')) => value.push('\n'),
                 Some((_, 't')) => value.push('\t'),
                 Some((_, 'r')) => value.push('\r'),
-                Some((_, 'u')) => value.extend(read_code(&mut letters)),
+                Some((_, 'u')) => value.extend(read_code_point(&mut chars)),
                 Some((_, other)) => value.push(other),
                 None => break,
             },
@@ -102,13 +102,13 @@
     (value, "")
 }
 
-/// The letter of an escape like `{1f}`.
-fn read_code(letters: &mut std::str::CharIndices<'_>) -> Option<char> {
-    let digits: String = letters
+/// Parses the hexadecimal code of a Unicode escape such as `{1f}`.
+fn read_code_point(chars: &mut std::str::CharIndices<'_>) -> Option<char> {
+    let digits: String = chars
         .by_ref()
-        .map(|(_, letter)| letter)
-        .skip_while(|letter| *letter == '{')
-        .take_while(|letter| *letter != '}')
+        .map(|(_, ch)| ch)
+        .skip_while(|ch| *ch == '{')
+        .take_while(|ch| *ch != '}')
         .collect();
     char::from_u32(u32::from_str_radix(&digits, 16).ok()?)
 }
