--- a/crates/nickellead_report/src/cause.rs
+++ b/crates/nickellead_report/src/cause.rs
@@ -1,4 +1,4 @@
-//! Sentences about what a request met: its targets, who decided, and others like it.
+//! Sentences on the likely cause of a failure: its targets, the mandate and similar failures.
 
 use std::collections::BTreeSet;
 
@@ -6,96 +6,102 @@
 
 use crate::LogLine;
 
-/// Other failures of the same kind from which one target or route is said to be the cause.
-const MANY: usize = 3;
+/// Minimum number of similar failures of other requests to report as a common cause.
+const MIN_SIMILAR_FAILURES: usize = 3;
 
-/// What happened to each target involved.
-pub(crate) fn tell_targets(
+/// Describes the events of every involved target.
+pub(crate) fn describe_targets(
     own: &[LogLine],
     targets: &BTreeSet<String>,
-    near: &[&LogLine],
+    nearby: &[&LogLine],
 ) -> Vec<String> {
     let request = own.first().and_then(|line| line.field("request"));
-    let mut told = Vec::new();
+    let mut sentences = Vec::new();
     for target in targets {
         let of_target = |line: &&LogLine| line.field("target") == Some(target);
-        let about: Vec<&LogLine> = near.iter().copied().filter(of_target).collect();
-        told.extend(own.iter().filter(of_target).map(|line| tell_try(target, line)));
-        told.extend(tell_leaving(target, &about));
-        told.extend(tell_signs(target, &about));
-        told.extend(tell_orders(target, &about));
-        told.extend(tell_other_tries(target, &about, request));
+        let events: Vec<&LogLine> = nearby.iter().copied().filter(of_target).collect();
+        sentences.extend(own.iter().filter(of_target).map(|line| describe_attempt(target, line)));
+        sentences.extend(describe_state_change(target, &events));
+        sentences.extend(describe_signals(target, &events));
+        sentences.extend(describe_failed_orders(target, &events));
+        sentences.extend(describe_other_attempts(target, &events, request));
     }
-    told
+    sentences
 }
 
-/// How one try of the request ended.
-fn tell_try(target: &str, line: &LogLine) -> String {
+/// Describes how one attempt of the request ended.
+fn describe_attempt(target: &str, line: &LogLine) -> String {
     let reason = line.field("reason").unwrap_or("?");
     let after = line.field("after_ms").unwrap_or("?");
-    format!("the try at {target} ended after {after} ms: {reason}")
+    format!("the attempt at {target} ended after {after} ms: {reason}")
 }
 
-/// When the target stopped being ready.
-fn tell_leaving(target: &str, about: &[&LogLine]) -> Option<String> {
-    let leaves = |line: &&&LogLine| {
+/// Describes when the target left the ready state.
+fn describe_state_change(target: &str, events: &[&LogLine]) -> Option<String> {
+    let not_ready = |line: &&&LogLine| {
         line.event == EventName::TargetChanged && line.field("state") != Some("ready")
     };
-    let line = about.iter().find(leaves)?;
+    let line = events.iter().find(not_ready)?;
     let state = line.field("state").unwrap_or("?");
     Some(format!("{target} was {state} from {:.3} s on", line.at))
 }
 
-/// What the target told of itself on its answers.
-fn tell_signs(target: &str, about: &[&LogLine]) -> Vec<String> {
-    let first = |event: EventName| about.iter().find(|line| line.event == event);
-    let leaves = first(EventName::TargetLeaving).or(first(EventName::OwnerLeaving));
-    let leaves = leaves.map(|line| format!("{target} said at {:.3} s that it leaves", line.at));
-    let pauses = first(EventName::TargetPaused).map(|line| {
+/// Describes the signals on the target's responses: leaving, pause, limit.
+fn describe_signals(target: &str, events: &[&LogLine]) -> Vec<String> {
+    let first = |event: EventName| events.iter().find(|line| line.event == event);
+    let leaving = first(EventName::TargetLeaving).or(first(EventName::OwnerLeaving));
+    let leaving =
+        leaving.map(|line| format!("{target} signaled at {:.3} s that it is leaving", line.at));
+    let pause = first(EventName::TargetPaused).map(|line| {
         let pause = line.field("pause_ms").unwrap_or("?");
-        format!("{target} asked at {:.3} s for a pause of {pause} ms", line.at)
+        format!("{target} requested at {:.3} s a pause of {pause} ms", line.at)
     });
-    let limits = first(EventName::TargetLimited).map(|line| {
+    let limit = first(EventName::TargetLimited).map(|line| {
         let rate = line.field("rate").unwrap_or("?");
-        format!("{target} named at {:.3} s a limit of {rate} requests a second", line.at)
+        format!("{target} reported at {:.3} s a limit of {rate} requests per second", line.at)
     });
-    leaves.into_iter().chain(pauses).chain(limits).collect()
+    leaving.into_iter().chain(pause).chain(limit).collect()
 }
 
-/// How many orders to the target failed.
-fn tell_orders(target: &str, about: &[&LogLine]) -> Option<String> {
-    let orders = about.iter().filter(|line| line.event == EventName::OrderFailed).count();
+/// Counts the orders to the target that failed.
+fn describe_failed_orders(target: &str, events: &[&LogLine]) -> Option<String> {
+    let orders = events.iter().filter(|line| line.event == EventName::OrderFailed).count();
     (orders > 0).then(|| format!("{orders} orders to {target} failed around that time"))
 }
 
-/// Whether many other requests failed at the target.
-fn tell_other_tries(target: &str, about: &[&LogLine], request: Option<&str>) -> Option<String> {
+/// Reports whether attempts of many other requests failed at the target.
+fn describe_other_attempts(
+    target: &str,
+    events: &[&LogLine],
+    request: Option<&str>,
+) -> Option<String> {
     let other = |line: &&&LogLine| {
         line.event == EventName::RequestRetried && line.field("request") != request
     };
-    let others = about.iter().filter(other).count();
-    (others >= MANY)
-        .then(|| format!("{others} other requests failed at {target}: look at the target"))
+    let others = events.iter().filter(other).count();
+    (others >= MIN_SIMILAR_FAILURES)
+        .then(|| format!("{others} other requests failed at {target}: check the target"))
 }
 
-/// Whether another VM had just begun to decide about owners.
-pub(crate) fn tell_decider(context: &[LogLine]) -> Option<String> {
+/// Describes the latest change of the mandate (leader lease).
+pub(crate) fn describe_mandate_change(context: &[LogLine]) -> Option<String> {
     let taken = context.iter().rfind(|line| line.event == EventName::MandateTaken)?;
     let vm = taken.field("vm").or(taken.vm.as_deref()).unwrap_or("another VM");
     Some(format!(
-        "{vm} took the mandate at {:.3} s: what it did not know had to settle first",
+        "{vm} took the mandate at {:.3} s: it had to resolve unknown ownership first",
         taken.at
     ))
 }
 
-/// Whether many requests of the route ended the same way.
-pub(crate) fn tell_crowd(failed: &LogLine, near: &[&LogLine]) -> Option<String> {
-    let alike = |line: &&&LogLine| {
+/// Reports whether many requests of the route failed with the same error.
+pub(crate) fn describe_similar_failures(failed: &LogLine, nearby: &[&LogLine]) -> Option<String> {
+    let is_similar = |line: &&&LogLine| {
         line.event == EventName::RequestFailed
             && line.field("error") == failed.field("error")
             && line.field("route") == failed.field("route")
     };
-    let others = near.iter().filter(alike).count().saturating_sub(1);
+    let others = nearby.iter().filter(is_similar).count().saturating_sub(1);
     let route = failed.field("route")?;
-    (others >= MANY).then(|| format!("{others} other requests of {route} ended the same way"))
+    (others >= MIN_SIMILAR_FAILURES)
+        .then(|| format!("{others} other requests of {route} failed with the same error"))
 }
--- a/crates/nickellead_report/src/context.rs
+++ b/crates/nickellead_report/src/context.rs
@@ -1,4 +1,4 @@
-//! What changed around a request: the lines that bear on its targets, its VM or its owner.
+//! Selects log lines near a request that concern its targets, its VM or the mandate (leader lease).
 
 use std::collections::BTreeSet;
 
@@ -6,46 +6,48 @@
 
 use crate::LogLine;
 
-/// Most lines of context that are shown, the newest ones.
-const CONTEXT_MOST: usize = 12;
+/// Maximum number of context lines; the newest ones are kept.
+const MAX_CONTEXT_LINES: usize = 12;
 
-/// The targets that the request was tried at, and the owner of its key.
+/// Returns the targets of the request's attempts and the owner of its key.
 pub(crate) fn involved_targets(own: &[LogLine]) -> BTreeSet<String> {
-    let named = |line: &LogLine| {
+    let names = |line: &LogLine| {
         [line.field("target"), line.field("owner")].map(|name| name.map(str::to_owned))
     };
-    own.iter().flat_map(named).flatten().collect()
+    own.iter().flat_map(names).flatten().collect()
 }
 
-/// Changes of belief that bear on the targets or on the VM that took the request.
+/// Returns the state changes that concern the targets, the VM that took the request or the mandate.
 pub(crate) fn find_context(
-    near: &[&LogLine],
+    nearby: &[&LogLine],
     targets: &BTreeSet<String>,
     vm: Option<&str>,
 ) -> Vec<LogLine> {
-    let of_vm = |line: &LogLine| is_vm_change(line.event) && line.vm.as_deref() == vm;
-    let bears = |line: &LogLine| {
-        is_target_change(line, targets) || of_vm(line) || is_decider_change(line.event)
+    let is_own_vm_change = |line: &LogLine| is_vm_change(line.event) && line.vm.as_deref() == vm;
+    let is_relevant = |line: &LogLine| {
+        is_target_change(line, targets) || is_own_vm_change(line) || is_mandate_change(line.event)
     };
-    let bearing = near.iter().filter(|line| bears(line));
-    let mut context: Vec<LogLine> = bearing.map(|line| (*line).clone()).collect();
-    // Every VM notes the same change of a target: one line of each kind is enough.
+    let relevant = nearby.iter().filter(|line| is_relevant(line));
+    let mut context: Vec<LogLine> = relevant.map(|line| (*line).clone()).collect();
+    // Every VM logs the same change of a target; keep one line of each kind.
     let mut seen = BTreeSet::new();
     context.retain(|line| {
-        let place = line.text.find("event=").unwrap_or_default();
-        is_decider_change(line.event) || of_vm(line) || seen.insert(line.text[place..].to_owned())
+        let event_start = line.text.find("event=").unwrap_or_default();
+        is_mandate_change(line.event)
+            || is_own_vm_change(line)
+            || seen.insert(line.text[event_start..].to_owned())
     });
-    context.split_off(context.len().saturating_sub(CONTEXT_MOST))
+    context.split_off(context.len().saturating_sub(MAX_CONTEXT_LINES))
 }
 
-/// Whether a line names one of the targets, and is not a mere try at it.
+/// Whether a line concerns one of the targets and is not an attempt at it.
 fn is_target_change(line: &LogLine, targets: &BTreeSet<String>) -> bool {
-    let named = [line.field("target"), line.field("to")];
+    let names = [line.field("target"), line.field("to")];
     line.event != EventName::RequestRetried
-        && named.into_iter().flatten().any(|name| targets.contains(name))
+        && names.into_iter().flatten().any(|name| targets.contains(name))
 }
 
-/// Whether an event changes what its own VM knows or does.
+/// Whether an event changes the state of the VM that logs it.
 const fn is_vm_change(event: EventName) -> bool {
     matches!(
         event,
@@ -59,8 +61,8 @@
     )
 }
 
-/// Whether an event changes who decides about owners.
-const fn is_decider_change(event: EventName) -> bool {
+/// Whether an event changes which VM holds the mandate or coordinates.
+const fn is_mandate_change(event: EventName) -> bool {
     matches!(
         event,
         EventName::MandateTaken
--- a/crates/nickellead_report/src/explain.rs
+++ b/crates/nickellead_report/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, and why it ended as it did.
+//! Explains one request from its log lines and the events around it.
 
 use std::fmt;
 
@@ -6,54 +6,55 @@
 use nickellead_event::{EventName, REQUEST_ANSWERED_SAMPLE_INTERVAL};
 
 use crate::LogLine;
-use crate::cause::{tell_crowd, tell_decider, tell_targets};
+use crate::cause::{describe_mandate_change, describe_similar_failures, describe_targets};
 use crate::context::{find_context, involved_targets};
 
-/// How long before a failure other events may have to do with it, in seconds: a lost target's keys
-/// wait for its hold and a predecessor's grace, about nine seconds.
-const BEFORE_S: f64 = 10.0;
-/// How long after it, in seconds: a loss may be noticed later than by the requests it hits.
-const AFTER_S: f64 = 1.0;
+/// Seconds of context before a failure: covers the lease of a lost target plus the grace period of a
+/// previous mandate holder.
+const CONTEXT_BEFORE_S: f64 = 10.0;
+/// Seconds of context after a failure: VMs may detect a loss after requests fail because of it.
+const CONTEXT_AFTER_S: f64 = 1.0;
 
-/// What logs tell of one request.
+/// Explanation of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestStory {
-    /// Its own lines, in order of time.
+pub struct RequestExplanation {
+    /// Lines that name the request, sorted by time.
     pub lines: Vec<LogLine>,
-    /// What changed around its targets and its VM shortly before it ended.
+    /// Changes of its targets, its VM and the mandate around the time of the failure.
     pub context: Vec<LogLine>,
-    /// Why it ended as it did, in sentences.
+    /// Likely cause of the outcome, one sentence per entry.
     pub cause: Vec<String>,
-    /// What the logs do not tell.
+    /// Gaps in the logs that limit the explanation.
     pub missing: Vec<String>,
 }
 
-/// Joins what the logs of all VMs say of one request.
+/// Explains a request from the logs of all VMs.
 #[must_use]
-pub fn explain_request(id: &str, lines: &[LogLine]) -> RequestStory {
+pub fn explain_request(id: &str, lines: &[LogLine]) -> RequestExplanation {
     let own: Vec<LogLine> =
         lines.iter().filter(|line| line.field("request") == Some(id)).cloned().collect();
-    let mut story = RequestStory {
+    let mut explanation = RequestExplanation {
         context: Vec::new(),
         cause: Vec::new(),
         missing: find_gaps(&own, lines),
         lines: own,
     };
-    let failed = story.lines.iter().rfind(|line| line.event == EventName::RequestFailed).cloned();
+    let failed =
+        explanation.lines.iter().rfind(|line| line.event == EventName::RequestFailed).cloned();
     match failed {
-        Some(failed) => explain_failure(&mut story, &failed, lines),
-        None => explain_answer(&mut story),
+        Some(failed) => explain_failure(&mut explanation, &failed, lines),
+        None => explain_response(&mut explanation),
     }
-    story
+    explanation
 }
 
-/// What is missing to tell the whole story.
+/// Lists the gaps in the logs: no line of the request, or dropped lines.
 fn find_gaps(own: &[LogLine], lines: &[LogLine]) -> Vec<String> {
     let mut missing = Vec::new();
     if own.is_empty() {
         missing.push(format!(
-            "no line names this request: it was answered (one in {REQUEST_ANSWERED_SAMPLE_INTERVAL} answers is \
-             logged), or the log of the VM that took it is not here"
+            "no line names this request: it was answered (one in {REQUEST_ANSWERED_SAMPLE_INTERVAL} responses is \
+             logged), or the log of the VM that took it is missing"
         ));
     }
     let dropped: u64 = lines
@@ -62,52 +63,56 @@
         .filter_map(|line| line.field("count")?.parse::<u64>().ok())
         .sum();
     if dropped > 0 {
-        missing.push(format!("{dropped} lines were dropped because nobody read the logs"));
+        missing.push(format!("{dropped} lines were dropped because the log output was not read"));
     }
     missing
 }
 
-/// Tells what a target answered, if that was logged.
-fn explain_answer(story: &mut RequestStory) {
-    let last = story.lines.last();
+/// Adds the target's response, if it was logged.
+fn explain_response(explanation: &mut RequestExplanation) {
+    let last = explanation.lines.last();
     let Some(answered) = last.filter(|line| line.event == EventName::RequestAnswered) else {
         return;
     };
     let status = answered.field("status").unwrap_or("?");
     let after = answered.field("after_ms").unwrap_or("?");
-    story.cause.push(format!("a target answered with status {status} after {after} ms"));
+    explanation.cause.push(format!("a target responded with status {status} after {after} ms"));
 }
 
-/// Tells what a failure means, what happened around it, and what caused it.
-fn explain_failure(story: &mut RequestStory, failed: &LogLine, lines: &[LogLine]) {
+/// Adds the meaning of the error, the context and the likely cause.
+fn explain_failure(explanation: &mut RequestExplanation, failed: &LogLine, lines: &[LogLine]) {
     let code = failed.field("error").unwrap_or_default();
     let Some(kind) = ErrorKind::ALL.iter().copied().find(|kind| kind.response().code == code)
     else {
-        story.missing.push(format!("the error {code:?} is not in this version's table"));
+        explanation
+            .missing
+            .push(format!("error {code:?} is not in the error table of this version"));
         return;
     };
     let outcome = match kind.response().outcome {
         OutcomeClass::NotRun => "it did not run",
         OutcomeClass::Unknown => "it may have run",
     };
-    story.cause.push(format!("{code}: {} ({outcome})", kind.response().help));
-    let near: Vec<&LogLine> = lines
+    explanation.cause.push(format!("{code}: {} ({outcome})", kind.response().help));
+    let nearby: Vec<&LogLine> = lines
         .iter()
-        .filter(|line| (failed.at - BEFORE_S..=failed.at + AFTER_S).contains(&line.at))
+        .filter(|line| {
+            (failed.at - CONTEXT_BEFORE_S..=failed.at + CONTEXT_AFTER_S).contains(&line.at)
+        })
         .collect();
-    let targets = involved_targets(&story.lines);
-    story.context = find_context(&near, &targets, failed.vm.as_deref());
-    story.cause.extend(tell_targets(&story.lines, &targets, &near));
+    let targets = involved_targets(&explanation.lines);
+    explanation.context = find_context(&nearby, &targets, failed.vm.as_deref());
+    explanation.cause.extend(describe_targets(&explanation.lines, &targets, &nearby));
     if failed.field("key").is_some() {
-        // Only owners of keys depend on who decides.
-        story.cause.extend(tell_decider(&story.context));
+        // Only requests for owned keys depend on the mandate holder.
+        explanation.cause.extend(describe_mandate_change(&explanation.context));
     }
-    story.cause.extend(tell_crowd(failed, &near));
+    explanation.cause.extend(describe_similar_failures(failed, &nearby));
 }
 
-impl fmt::Display for RequestStory {
+impl fmt::Display for RequestExplanation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (title, lines) in [("lines", &self.lines), ("around it", &self.context)] {
+        for (title, lines) in [("lines", &self.lines), ("context", &self.context)] {
             if !lines.is_empty() {
                 writeln!(out, "{title}:")?;
                 lines.iter().try_for_each(|line| writeln!(out, "  {}", line.text))?;
--- a/crates/nickellead_report/src/lib.rs
+++ b/crates/nickellead_report/src/lib.rs
@@ -1,8 +1,8 @@
-//! What logs tell afterwards: the story of one request, and the burn of service levels.
+//! Offline log analysis: explains single requests and computes burn rates of objectives.
 //!
-//! [`read_lines`] reads the logs of several VMs as they were collected;
-//! [`explain_request`] joins what they say of one request and names the cause,
-//! and [`report_burn`] counts how fast each route spends what its objective allows.
+//! [`read_lines`] parses the collected logs of several VMs, [`explain_request`] finds the
+//! likely cause of a request's outcome, and [`report_burn`] computes how fast each route
+//! consumes the error budget of its objective.
 
 mod burn;
 mod cause;
@@ -11,5 +11,5 @@
 mod line;
 
 pub use burn::{BurnReport, BurnSettings, BurnWindow, RouteBurn, report_burn};
-pub use explain::{RequestStory, explain_request};
+pub use explain::{RequestExplanation, explain_request};
 pub use line::{LogLine, read_lines};
--- a/crates/nickellead_report/tests/stories.rs
+++ b/crates/nickellead_report/tests/explanations.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, on lines as collected from several VMs.
+//! Explanations of requests from lines collected from several VMs.
 #![allow(clippy::unwrap_used)]
 
 use nickellead_report::{LogLine, explain_request, read_lines};
@@ -25,53 +25,57 @@
     explain_request(id, &read_lines([LOGS])).cause.join("\n")
 }
 
-/// Refused and not run: the owner was lost, and another VM had just begun to decide.
+/// The owner of the key was lost while another VM had just taken the mandate.
 #[test]
 fn a_refusal_is_traced_to_the_lost_owner() {
-    let story = explain_request("r-1", &read_lines([LOGS]));
-    let cause = story.cause.join("\n");
+    let explanation = explain_request("r-1", &read_lines([LOGS]));
+    let cause = explanation.cause.join("\n");
     assert!(cause.contains("move-too-long") && cause.contains("did not run"), "{cause}");
     assert!(cause.contains("i-7 was gone from 8.197 s on"), "{cause}");
     assert!(cause.contains("1 orders to i-7 failed"), "{cause}");
     assert!(cause.contains("front-a-3 took the mandate at 7.564 s"), "{cause}");
-    assert_eq!(story.lines.len(), 1);
-    let gone = story.context.iter().filter(|line| line.text.contains("state=gone"));
-    assert_eq!(gone.count(), 1, "the same news of two VMs is told once");
-    assert_eq!(story.missing, ["3 lines were dropped because nobody read the logs"]);
+    assert_eq!(explanation.lines.len(), 1);
+    let gone = explanation.context.iter().filter(|line| line.text.contains("state=gone"));
+    assert_eq!(gone.count(), 1, "the same change logged by two VMs is listed once");
+    assert_eq!(explanation.missing, ["3 lines were dropped because the log output was not read"]);
 }
 
 #[test]
-fn a_late_answer_is_traced_to_the_target_that_had_the_request() {
+fn a_late_response_is_traced_to_the_target_of_the_request() {
     let cause = cause_of("r-2");
     assert!(cause.contains("answer-late") && cause.contains("may have run"), "{cause}");
-    assert!(cause.contains("the try at i-8 ended after 277 ms: late"), "{cause}");
+    assert!(cause.contains("the attempt at i-8 ended after 277 ms: late"), "{cause}");
 }
 
 #[test]
-fn a_refusal_is_traced_to_what_the_owner_told_of_itself() {
+fn a_refusal_is_traced_to_the_signals_of_the_owner() {
     let cause = cause_of("r-6");
     assert!(cause.contains("target-paused") && cause.contains("did not run"), "{cause}");
-    assert!(cause.contains("i-5 said at 9.200 s that it leaves"), "{cause}");
-    assert!(cause.contains("i-5 asked at 9.300 s for a pause of 3000 ms"), "{cause}");
+    assert!(cause.contains("i-5 signaled at 9.200 s that it is leaving"), "{cause}");
+    assert!(cause.contains("i-5 requested at 9.300 s a pause of 3000 ms"), "{cause}");
 }
 
 #[test]
 fn an_unknown_outcome_is_traced_to_the_broken_connection() {
     let cause = cause_of("r-4");
     assert!(cause.contains("answer-lost") && cause.contains("may have run"), "{cause}");
-    assert!(cause.contains("the try at i-9 ended after 60 ms: broken"), "{cause}");
+    assert!(cause.contains("the attempt at i-9 ended after 60 ms: broken"), "{cause}");
 }
 
 #[test]
-fn an_answered_request_and_an_unknown_one_are_told_as_such() {
-    assert_eq!(cause_of("r-3"), "a target answered with status 200 after 12 ms");
-    let story = explain_request("r-5", &read_lines([LOGS]));
-    assert!(story.cause.is_empty());
-    assert!(story.missing[0].contains("no line names this request"), "{:?}", story.missing);
+fn an_answered_request_and_an_unknown_request_are_explained() {
+    assert_eq!(cause_of("r-3"), "a target responded with status 200 after 12 ms");
+    let explanation = explain_request("r-5", &read_lines([LOGS]));
+    assert!(explanation.cause.is_empty());
+    assert!(
+        explanation.missing[0].contains("no line names this request"),
+        "{:?}",
+        explanation.missing
+    );
 }
 
 #[test]
-fn values_in_quotes_are_read_back_as_they_were() {
+fn quoted_values_are_unescaped() {
     let value = "x\n\"=\u{1f} ende";
     let text = nickellead_event::event_line(
         nickellead_event::EventName::RequestFailed,
@@ -82,7 +86,7 @@
 }
 
 #[test]
-fn lines_of_a_process_alone_have_a_time_and_no_vm() {
+fn lines_without_a_collector_prefix_have_a_time_and_no_vm() {
     let line =
         LogLine::read("2026-12-02T15:53:22.824Z [WARN] event=store-lost reason=silent").unwrap();
     assert!(line.vm.is_none() && line.at > 1.7e9, "{line:?}");
