--- a/crates/nickellead_trial/src/report.rs
+++ b/crates/nickellead_trial/src/report.rs
@@ -1,4 +1,4 @@
-//! What a trial showed.
+//! Results of a trial.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,39 +6,39 @@
 use nickellead_standin::Verdict;
 use serde::Serialize;
 
-/// The report of a trial, computed from what callers and targets recorded.
+/// Report of a trial, computed from the records of callers and targets.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TrialReport {
-    /// Whether the promises held.
+    /// Violations of the guarantees.
     pub verdict: Verdict,
-    /// Requests with a whole answer.
+    /// Number of requests with a complete response.
     pub answered: u64,
-    /// Requests that were proved not run.
+    /// Number of requests proven not to have run.
     pub refused: u64,
-    /// Requests that may have run.
+    /// Number of requests that may have run.
     pub unknown: u64,
-    /// Errors by code.
+    /// Number of errors by code.
     pub errors: BTreeMap<String, u64>,
-    /// 99th percentile over all times that a key was unavailable to a caller.
+    /// 99th percentile of the durations for which a key was unavailable to a caller, in ms.
     pub unavailable_ms_p99: u64,
-    /// Longest time that a key was unavailable to a caller.
+    /// Longest duration for which a key was unavailable to a caller, in ms.
     pub unavailable_ms_max: u64,
     /// Latency of answered requests in microseconds: p50, p99, maximum.
     pub latency_us: [u64; 3],
-    /// Largest over services of: most shards of a target per slot, over the mean.
+    /// Largest ratio of the maximum to the mean number of shards per target, over services and zones.
     pub imbalance: f64,
-    /// Shards that changed their owner, over those of the lost and drained targets.
+    /// Ownership changes divided by the number of shards of the crashed and drained targets.
     pub churn: f64,
-    /// Shards that changed their owner.
+    /// Number of ownership changes of shards.
     pub moves: u64,
-    /// Calls of the platform, by all VMs.
+    /// Number of platform calls of all VMs.
     pub platform_calls: u64,
-    /// Length of the load in seconds.
+    /// Duration of the load in seconds.
     pub seconds: u64,
 }
 
 impl TrialReport {
-    /// Whether every promise held.
+    /// Whether every guarantee held.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
         self.verdict.has_no_violations()
@@ -48,8 +48,8 @@
 impl fmt::Display for TrialReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [p50, p99, max] = self.latency_us;
-        writeln!(formatter, "answers        {:>9}", self.answered)?;
-        writeln!(formatter, "refused        {:>9}   (proved not run)", self.refused)?;
+        writeln!(formatter, "answered       {:>9}", self.answered)?;
+        writeln!(formatter, "refused        {:>9}   (proven not to have run)", self.refused)?;
         writeln!(formatter, "unknown        {:>9}   (may have run)", self.unknown)?;
         for (code, count) in &self.errors {
             writeln!(formatter, "  {code:<20} {count:>9}")?;
@@ -57,12 +57,12 @@
         writeln!(formatter, "latency        p50 {p50} us, p99 {p99} us, max {max} us")?;
         writeln!(
             formatter,
-            "unavailable    longest {} ms for one key, first to last failure",
+            "unavailable    at most {} ms for one key, first to last failure",
             self.unavailable_ms_max
         )?;
         writeln!(formatter, "moves          {:>9}", self.moves)?;
         let rate = self.platform_calls as f64 / self.seconds.max(1) as f64;
-        writeln!(formatter, "platform calls {:>9}   ({rate:.1} a second)", self.platform_calls)?;
+        writeln!(formatter, "platform calls {:>9}   ({rate:.1} per second)", self.platform_calls)?;
         write!(
             formatter,
             "owners_at_once_max={} wrong_answers={} repeated_once_ops={} answered={} refused={} \
--- a/crates/nickellead_trial/src/trial.rs
+++ b/crates/nickellead_trial/src/trial.rs
@@ -1,4 +1,4 @@
-//! The course of a trial.
+//! Runs a trial: start, load with faults, checks and report.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,29 +10,29 @@
 use thiserror::Error;
 
 use crate::deployment::TrialDeployment;
+use crate::owner_monitor::OwnerMonitor;
 use crate::report::TrialReport;
-use crate::trades::{SERVICES, TradeService};
-use crate::watch::OwnerWatch;
-
-/// Callers of each service.
-const CALLERS: u32 = 12;
-/// Keys that callers of a service name.
-const KEYS: u32 = 2_000;
-/// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(5);
-/// How long everything may take to come up.
-const START_LIMIT: Duration = Duration::from_secs(20);
-/// The target that is lost, by its place among those of its service.
-const LOST: (&str, u16) = ("slots", 0);
-/// The target that is drained.
-const DRAINED: (&str, u16) = ("landings", 1);
-
-/// What a trial is to do.
+use crate::services::{SERVICES, TrialService};
+
+/// Number of callers of each service.
+const CALLERS_PER_SERVICE: u32 = 12;
+/// Number of keys that callers of a service use.
+const KEYS_PER_SERVICE: u32 = 2_000;
+/// Delay of a caller between a response and its next request.
+const THINK_TIME: Duration = Duration::from_millis(5);
+/// Maximum time until every shard has an owner and every VM is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Service and number of the target that crashes.
+const CRASHED_TARGET: (&str, u16) = ("slots", 0);
+/// Service and number of the target that is drained.
+const DRAINED_TARGET: (&str, u16) = ("landings", 1);
+
+/// Settings of a trial.
 #[derive(Clone, Copy, Debug)]
 pub struct TrialSettings {
-    /// Length of the load in seconds.
+    /// Duration of the load in seconds.
     pub seconds: u64,
-    /// Seed of keys and order.
+    /// Seed of the callers' keys and operations.
     pub seed: u64,
 }
 
@@ -42,44 +42,44 @@
     }
 }
 
-/// Why a trial could not be run.
+/// Reasons why a trial could not run.
 #[derive(Debug, Error)]
 pub enum TrialError {
-    /// A part could not be started.
-    #[error("a part can't be started: {0}")]
+    /// A VM, a name or the load could not be set up.
+    #[error("failed to start the trial: {0}")]
     Start(String),
-    /// The system refused a listener or a thread.
-    #[error("the system refuses: {0}")]
+    /// The operating system returned an error for a listener or a thread.
+    #[error("operating system error: {0}")]
     System(#[from] std::io::Error),
-    /// A declaration could not be written.
-    #[error("a declaration can't be written: {0}")]
+    /// The platform did not accept a declaration.
+    #[error("failed to write a declaration: {0}")]
     Declare(#[from] PlatformError),
-    /// Not every shard got an owner.
-    #[error("after {0:?} only {1} shards have an owner")]
+    /// The deployment was not up in time: the timeout, and the shards that had an owner.
+    #[error("deployment not up after {0:?}: {1} shards have an owner")]
     NotUp(Duration, usize),
 }
 
-/// Runs a trial; `progress` is told what happens.
+/// Runs a trial; calls `progress` with a text at each step.
 ///
 /// # Errors
-/// A [`TrialError`] when the trial itself could not be run; broken promises
-/// stand in the report.
+/// A [`TrialError`] if the trial could not run. Violated guarantees are part of the
+/// report instead.
 pub fn run_trial(
     settings: TrialSettings,
     progress: &dyn Fn(&str),
 ) -> Result<TrialReport, TrialError> {
     let mut deployment = TrialDeployment::start()?;
     let runtime = actix_rt::Runtime::new()?;
-    progress("started: platform, 66 targets, 9 entry VMs in 3 availability zones");
+    progress("started: platform, 66 targets, 9 VMs in 3 availability zones");
     runtime.block_on(deployment.declare())?;
     wait_until_up(&deployment)?;
     progress("up: every shard of 8 services has an owner, every VM is ready");
     let before = count_epochs(&deployment);
-    let watch = OwnerWatch::start(watched(&deployment))?;
+    let monitor = OwnerMonitor::start(running_targets(&deployment))?;
     let calls = platform_calls(&deployment);
-    let report = disturb(&mut deployment, settings, &runtime, progress)?;
+    let report = run_load_with_faults(&mut deployment, settings, &runtime, progress)?;
     let platform_calls = platform_calls(&deployment) - calls;
-    let owners_at_once = watch.finish();
+    let owners_at_once = monitor.finish();
     let after = count_epochs(&deployment);
     let mut trial = summarize(&deployment, &report, after, before);
     trial.verdict.owners_at_once_max = trial.verdict.owners_at_once_max.max(owners_at_once);
@@ -89,24 +89,26 @@
     let vms = std::mem::take(&mut deployment.vms);
     let stops: Vec<_> = vms.into_iter().map(|vm| std::thread::spawn(move || vm.stop())).collect();
     for stop in stops {
-        // A stop that took too long was logged; the report does not hang on it.
+        // A VM that exceeds its stop timeout logs that; the report does not depend on it.
         let _ = stop.join();
     }
     Ok(trial)
 }
 
 fn wait_until_up(deployment: &TrialDeployment) -> Result<(), TrialError> {
-    let end = Instant::now() + START_LIMIT;
-    while !deployment.is_ready() || deployment.owned_shards() < TrialDeployment::shards() {
+    let end = Instant::now() + START_TIMEOUT;
+    while !deployment.is_ready() || deployment.owned_shards() < TrialDeployment::total_shards() {
         if Instant::now() > end {
-            return Err(TrialError::NotUp(START_LIMIT, deployment.owned_shards()));
+            return Err(TrialError::NotUp(START_TIMEOUT, deployment.owned_shards()));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     Ok(())
 }
 
-fn watched(deployment: &TrialDeployment) -> Vec<(String, nickellead_standin::StandinTarget)> {
+fn running_targets(
+    deployment: &TrialDeployment,
+) -> Vec<(String, nickellead_standin::StandinTarget)> {
     let running = |target: &crate::deployment::TrialTarget| {
         let running = target.running.clone()?;
         Some((target.spec.service.to_string(), running))
@@ -114,8 +116,8 @@
     deployment.targets.iter().filter_map(running).collect()
 }
 
-/// Sends the load; a third in a target is lost, two thirds in another is drained.
-fn disturb(
+/// Sends the load; crashes a target after one third of it and drains another after two thirds.
+fn run_load_with_faults(
     deployment: &mut TrialDeployment,
     settings: TrialSettings,
     runtime: &actix_rt::Runtime,
@@ -127,53 +129,54 @@
         .spawn(move || actix_rt::Runtime::new().map(|runtime| runtime.block_on(run_load(load))))?;
     let third = Duration::from_secs(settings.seconds) / 3;
     std::thread::sleep(third);
-    let lost = place_of(deployment, LOST);
-    progress(&format!("losing target {}-{}", LOST.0, LOST.1));
-    if let Some(target) = deployment.targets[lost].running.take() {
+    let crashed = target_index(deployment, CRASHED_TARGET);
+    progress(&format!("crashing target {}-{}", CRASHED_TARGET.0, CRASHED_TARGET.1));
+    if let Some(target) = deployment.targets[crashed].running.take() {
         target.crash();
     }
     std::thread::sleep(third);
-    progress(&format!("draining target {}-{}", DRAINED.0, DRAINED.1));
-    runtime.block_on(deployment.drain(place_of(deployment, DRAINED)))?;
+    progress(&format!("draining target {}-{}", DRAINED_TARGET.0, DRAINED_TARGET.1));
+    runtime.block_on(deployment.drain(target_index(deployment, DRAINED_TARGET)))?;
     match callers.join() {
         Ok(report) => Ok(report?),
-        Err(_) => Err(TrialError::Start("the callers broke off".to_owned())),
+        Err(_) => Err(TrialError::Start("the thread of the callers panicked".to_owned())),
     }
 }
 
 fn load_settings(deployment: &TrialDeployment, settings: TrialSettings) -> LoadSettings {
-    let group = |service: &TradeService| CallerSettings {
+    let group = |service: &TrialService| CallerSettings {
         service: service.name.to_owned(),
         operation: service.operation.name.to_owned(),
         method: service.operation.method.to_owned(),
-        at_most_once: service.operation.once,
-        callers: CALLERS,
-        keys: KEYS,
+        at_most_once: service.operation.at_most_once,
+        callers: CALLERS_PER_SERVICE,
+        keys: KEYS_PER_SERVICE,
     };
     LoadSettings {
-        entry_addresses: deployment.callers.clone(),
+        entry_addresses: deployment.callers_addresses.clone(),
         groups: SERVICES.iter().map(group).collect(),
         duration: Duration::from_secs(settings.seconds),
-        think_time: PAUSE,
+        think_time: THINK_TIME,
         seed: settings.seed,
     }
 }
 
-fn place_of(deployment: &TrialDeployment, (service, number): (&str, u16)) -> usize {
-    let wanted = format!("{service}-{number}");
+fn target_index(deployment: &TrialDeployment, (service, number): (&str, u16)) -> usize {
+    let target_name = format!("{service}-{number}");
     let mut targets = deployment.targets.iter();
-    targets.position(|target| target.name.as_str() == wanted).unwrap_or(0)
+    targets.position(|target| target.name.as_str() == target_name).unwrap_or(0)
 }
 
 fn platform_calls(deployment: &TrialDeployment) -> u64 {
     deployment.vms.iter().map(nickellead_run::NodeHandle::platform_calls).sum()
 }
 
-/// All epochs ever granted, and the shards of the targets that will be disturbed.
+/// Sums the epochs of all shards, and counts the shards of the targets to crash and drain.
 fn count_epochs(deployment: &TrialDeployment) -> (u64, u64) {
     let store = deployment.platform.store();
-    let disturbed = [LOST, DRAINED].map(|(service, number)| format!("{service}-{number}"));
-    let (mut epochs, mut least) = (0, 0);
+    let faulted_names =
+        [CRASHED_TARGET, DRAINED_TARGET].map(|(service, number)| format!("{service}-{number}"));
+    let (mut epochs, mut faulted_shards) = (0, 0);
     for object in store.list(ObjectKind::Placement) {
         let Ok(placement) = serde_json::from_value::<PlacementObject>(object.spec) else {
             continue;
@@ -181,12 +184,12 @@
         for owner in &placement.owners {
             epochs += owner.1.0;
             let target = placement.targets.get((owner.0 as usize).wrapping_sub(1));
-            let hit =
-                target.is_some_and(|target| disturbed.iter().any(|name| name == target.as_str()));
-            least += u64::from(hit);
+            let is_faulted = target
+                .is_some_and(|target| faulted_names.iter().any(|name| name == target.as_str()));
+            faulted_shards += u64::from(is_faulted);
         }
     }
-    (epochs, least)
+    (epochs, faulted_shards)
 }
 
 fn summarize(
@@ -215,7 +218,7 @@
     }
 }
 
-/// Largest over services and zones of: most shards of a target, over the mean.
+/// Largest ratio of the maximum to the mean number of shards per target, over services and zones.
 fn imbalance(deployment: &TrialDeployment) -> f64 {
     let mut groups: BTreeMap<(&str, &str), Vec<usize>> = BTreeMap::new();
     for target in &deployment.targets {
@@ -226,8 +229,8 @@
         }
     }
     let ratio = |counts: &Vec<usize>| {
-        let most = counts.iter().max().copied().unwrap_or(0) as f64;
-        most * counts.len() as f64 / counts.iter().sum::<usize>().max(1) as f64
+        let max = counts.iter().max().copied().unwrap_or(0) as f64;
+        max * counts.len() as f64 / counts.iter().sum::<usize>().max(1) as f64
     };
     groups.values().map(ratio).fold(1.0, f64::max)
 }
