--- a/crates/nickellead_peer/tests/slow_answers.rs
+++ b/crates/nickellead_peer/tests/slow_answers.rs
@@ -80,7 +80,7 @@
         let stuck = futures_util::future::join_all(stuck);
         let asking = async {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            link.set(LinkFault::CutBack);
+            link.set(LinkFault::CutFromTarget);
             tokio::time::sleep(Duration::from_millis(5_500)).await;
             link.set(LinkFault::None);
             let mut client = SizeClient::new(link.address, PATH);
--- a/crates/nickellead_soak/src/error.rs
+++ b/crates/nickellead_soak/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a round can't be played.
+//! Errors that prevent a round from running.
 
 use thiserror::Error;
 
-/// Why a round can't be played.
+/// Error that prevents a round from running.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// A process can't be started.
-    #[error("{program} can't be started: {reason}; build it with `cargo build --release`")]
+    /// A process could not be started.
+    #[error("failed to start {program}: {reason}; build it with `cargo build --release`")]
     Start {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// The system's word.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
-    /// The system refused a file, a socket or a thread.
-    #[error("the system refused {what}: {reason}")]
+    /// An operation on a file, a socket or a thread failed.
+    #[error("operating system error for {what}: {reason}")]
     System {
-        /// What was asked of it.
+        /// Resource that the operation was for.
         what: &'static str,
-        /// Its word.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
-    /// The fleet did not get into a state in time, while nothing was disturbed.
-    #[error("not reached in calm: {0}")]
+    /// The fleet did not reach an expected state in time.
+    #[error("state not reached in time: {0}")]
     NotReached(String),
 }
 
 impl SoakError {
-    /// Names what the system refused.
+    /// Returns a conversion from an error of the operating system that names the resource.
     pub(crate) fn system(what: &'static str) -> impl FnOnce(std::io::Error) -> Self {
         move |reason| Self::System { what, reason }
     }
--- a/crates/nickellead_soak/src/fleet/faults.rs
+++ b/crates/nickellead_soak/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! How a fleet's processes, links and platform are disturbed and mended.
+//! Injects faults into the processes, links and platform of a fleet, and ends them.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,17 +9,17 @@
 use super::SoakFleet;
 use crate::{Fault, LinkFault, SoakError, SoakProcess};
 
-/// How long a planned stop may take: the program's own limit is shorter.
-const STOP_MOST: Duration = Duration::from_secs(20);
-/// How long an answer of the platform's stand-in may take.
-const ADMIN_MOST: Duration = Duration::from_secs(5);
+/// Timeout of a planned stop, longer than the stop limit of the VM itself.
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Read timeout of the admin interface of the platform's stand-in.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl SoakFleet {
-    /// Begins a fault.
+    /// Starts a fault.
     ///
     /// # Errors
-    /// The system's refusal of a file or process.
-    pub fn begin(&mut self, fault: Fault) -> Result<(), SoakError> {
+    /// A [`SoakError`] if a file, a command or a call to the platform's stand-in fails.
+    pub fn start_fault(&mut self, fault: Fault) -> Result<(), SoakError> {
         match fault {
             Fault::KillVm(vm) => self.vms[vm].process = None,
             Fault::PauseVm(vm) => signal(self.vms[vm].process.as_ref(), Signal::STOP),
@@ -34,15 +34,15 @@
             Fault::PlatformLink(vm, fault) => self.vms[vm].platform.set(fault),
             Fault::PeerLink(vm, fault) => self.vms[vm].peers.set(fault),
             Fault::TargetLink(target, fault) => self.targets[target].link.set(fault),
-            Fault::PlatformDown => self.set_platform(r#"{"down": true}"#)?,
+            Fault::PlatformDown => self.set_platform_faults(r#"{"down": true}"#)?,
             Fault::PlatformSlow(millis) => {
-                self.set_platform(&format!(r#"{{"slow_ms": {millis}}}"#))?;
+                self.set_platform_faults(&format!(r#"{{"slow_ms": {millis}}}"#))?;
             }
-            Fault::PlatformLoses(part) => {
-                self.set_platform(&format!(r#"{{"lost_answers": {part}}}"#))?;
+            Fault::PlatformLoses(per_mille) => {
+                self.set_platform_faults(&format!(r#"{{"lost_answers": {per_mille}}}"#))?;
             }
             Fault::DrainTarget(target) => {
-                // While the platform is away nobody accepts it, and nothing is disturbed.
+                // While the platform is unavailable no VM accepts this, and the fault has no effect.
                 self.declare_target(target, "draining")?;
             }
         }
@@ -52,19 +52,20 @@
     /// Ends a fault.
     ///
     /// # Errors
-    /// The system's refusal of a file or process, or a VM that did not stop as told.
-    pub fn end(&mut self, fault: Fault) -> Result<(), SoakError> {
+    /// A [`SoakError`] if a file, a process or a call to the platform's stand-in fails, or if a VM
+    /// does not stop in time.
+    pub fn end_fault(&mut self, fault: Fault) -> Result<(), SoakError> {
         match fault {
-            Fault::KillVm(vm) => self.return_vm(vm)?,
+            Fault::KillVm(vm) => self.restart_vm(vm)?,
             Fault::PauseVm(vm) => signal(self.vms[vm].process.as_ref(), Signal::CONT),
             Fault::StopVm(vm) => {
                 self.finish_stop(vm)?;
-                self.return_vm(vm)?;
+                self.restart_vm(vm)?;
             }
             Fault::KillTarget(target) if self.targets[target].process.is_none() => {
                 self.start_target(target)?;
             }
-            // Started again by the end of another fault.
+            // The end of another fault has restarted it.
             Fault::KillTarget(_) => {}
             Fault::PauseTarget(target) => {
                 signal(self.targets[target].process.as_ref(), Signal::CONT)
@@ -73,7 +74,7 @@
             Fault::PeerLink(vm, _) => self.vms[vm].peers.set(LinkFault::None),
             Fault::TargetLink(target, _) => self.targets[target].link.set(LinkFault::None),
             Fault::PlatformDown | Fault::PlatformSlow(_) | Fault::PlatformLoses(_) => {
-                self.set_platform("{}")?;
+                self.set_platform_faults("{}")?;
             }
             Fault::DrainTarget(target) => {
                 self.declare_target(target, "active")?;
@@ -82,53 +83,55 @@
         Ok(())
     }
 
-    /// Waits for a VM that was told to stop; one that stood still meanwhile is woken.
+    /// Waits for the exit of a stopping VM, and resumes it first if another fault has paused it.
     fn finish_stop(&mut self, number: usize) -> Result<(), SoakError> {
         if !self.vms[number].stopping {
-            // Killed meanwhile by another fault, and started again.
+            // Another fault has killed and restarted it.
             return Ok(());
         }
         let Some(mut process) = self.vms[number].process.take() else { return Ok(()) };
         process.signal(Signal::CONT);
-        match process.wait_exit(STOP_MOST) {
+        match process.wait_exit(STOP_TIMEOUT) {
             Some(_) => Ok(()),
-            None => Err(SoakError::NotReached(format!("vm-{number} stopped as told"))),
+            None => {
+                Err(SoakError::NotReached(format!("vm-{number} stopped within {STOP_TIMEOUT:?}")))
+            }
         }
     }
 
-    /// Starts a VM again, unless the end of another fault did.
-    fn return_vm(&mut self, number: usize) -> Result<(), SoakError> {
+    /// Restarts a VM unless the end of another fault has done so.
+    fn restart_vm(&mut self, number: usize) -> Result<(), SoakError> {
         match self.vms[number].process {
             Some(_) => Ok(()),
             None => self.start_vm(number),
         }
     }
 
-    /// Changes how the platform misbehaves.
-    fn set_platform(&self, faults: &str) -> Result<(), SoakError> {
+    /// Replaces the faults of the platform's stand-in.
+    fn set_platform_faults(&self, faults: &str) -> Result<(), SoakError> {
         let request = format!(
             "POST /admin/faults HTTP/1.1\r\nhost: soak\r\nconnection: close\r\n\
              content-length: {}\r\n\r\n{faults}",
             faults.len()
         );
-        let answer = exchange(self.platform_address, &request);
-        answer.map(drop).map_err(SoakError::system("a call of the platform's stand-in"))
+        let response = exchange(self.platform_address, &request);
+        response.map(drop).map_err(SoakError::system("a call to the platform's stand-in"))
     }
 }
 
-/// Signals a process, if it is there.
+/// Sends a signal to a process if it runs.
 fn signal(process: Option<&SoakProcess>, signal: Signal) {
     if let Some(process) = process {
         process.signal(signal);
     }
 }
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection and returns the response.
 fn exchange(address: SocketAddr, request: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(ADMIN_MOST))?;
+    stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
--- a/crates/nickellead_soak/src/fleet/mod.rs
+++ b/crates/nickellead_soak/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes, joined by links that can misbehave.
+//! A fleet of real processes, connected by links with injectable faults.
 
 mod declare;
 mod faults;
@@ -11,32 +11,32 @@
 
 use crate::{FaultLink, LinkHost, SoakError, SoakProcess, free_address};
 
-/// Callers of each kind that send side by side.
-const CALLERS: u32 = 8;
-/// Keys that they name.
-const KEYS: u32 = 400;
-/// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(8);
+/// Number of concurrent callers of each operation.
+const CALLERS_PER_OPERATION: u32 = 8;
+/// Number of keys that the callers use.
+const KEY_COUNT: u32 = 400;
+/// Delay of a caller between a response and its next request.
+const THINK_TIME: Duration = Duration::from_millis(8);
 
-/// How many of each there are.
+/// Number of zones, VMs and targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// VMs in each.
+    /// Number of VMs in each zone.
     pub vms_per_zone: usize,
-    /// Targets in each.
+    /// Number of targets in each zone.
     pub targets_per_zone: usize,
 }
 
 impl FleetSize {
-    /// VMs in all.
+    /// Number of VMs in all zones.
     #[must_use]
     pub const fn vms(self) -> usize {
         self.zones * self.vms_per_zone
     }
 
-    /// Targets in all.
+    /// Number of targets in all zones.
     #[must_use]
     pub const fn targets(self) -> usize {
         self.zones * self.targets_per_zone
@@ -50,7 +50,7 @@
     platform: FaultLink,
     peers: FaultLink,
     process: Option<SoakProcess>,
-    /// Whether this life of the process was told to stop.
+    /// Whether the current process has received SIGTERM.
     stopping: bool,
 }
 
@@ -63,7 +63,7 @@
     process: Option<SoakProcess>,
 }
 
-/// Platform, targets and VMs, each a process of its own.
+/// Platform, targets and VMs, each as a process.
 pub struct SoakFleet {
     program: PathBuf,
     folder: PathBuf,
@@ -79,7 +79,7 @@
     format!("zone-{number}")
 }
 
-/// The platform's list of VMs, each by the link to its peers' address.
+/// Returns the platform's list of VMs, which gives each VM's peer address by its link.
 fn vm_list(peers: &[FaultLink], size: FleetSize) -> String {
     let listed = peers.iter().enumerate().map(|(number, link)| {
         let (zone, address) = (zone_name(number % size.zones), link.address);
@@ -92,10 +92,10 @@
 }
 
 impl SoakFleet {
-    /// Starts every process; files and logs go to `folder`.
+    /// Starts all processes, with files and logs in `folder`.
     ///
     /// # Errors
-    /// A [`SoakError`]; what was started has ended then.
+    /// A [`SoakError`]; processes that were started before the error are killed.
     pub fn start(program: &Path, folder: &Path, size: FleetSize) -> Result<Self, SoakError> {
         std::fs::create_dir_all(folder).map_err(SoakError::system("a folder"))?;
         let links = LinkHost::start()?;
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// A load through all VMs for a bounded time.
+    /// Returns the settings of a load through all VMs for `duration`.
     #[must_use]
     pub fn load_settings(&self, duration: Duration, seed: u64) -> LoadSettings {
         let group = |operation: &str, method: &str, at_most_once| CallerSettings {
@@ -212,22 +212,22 @@
             operation: operation.to_owned(),
             method: method.to_owned(),
             at_most_once,
-            callers: CALLERS,
-            keys: KEYS,
+            callers: CALLERS_PER_OPERATION,
+            keys: KEY_COUNT,
         };
         LoadSettings {
             entry_addresses: self.vms.iter().map(|vm| vm.callers).collect(),
             groups: vec![group("book", "POST", true), group("look", "GET", false)],
             duration,
-            think_time: PAUSE,
+            think_time: THINK_TIME,
             seed,
         }
     }
 
-    /// Every effect that targets recorded, also in lives that were killed.
+    /// Returns the recorded effects of all targets, including processes that were killed.
     ///
     /// # Errors
-    /// The system's refusal of a file.
+    /// [`SoakError::System`] if a file can't be read.
     pub fn effects(&self) -> Result<Vec<EffectRecord>, SoakError> {
         let mut effects = Vec::new();
         for target in &self.targets {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Writes a file; gives its path as an argument.
+/// Writes a file and returns its path as a command argument.
 fn write_file(path: &Path, text: &str) -> Result<String, SoakError> {
     std::fs::write(path, text).map_err(SoakError::system("a file"))?;
     Ok(path.display().to_string())
--- a/crates/nickellead_soak/src/lib.rs
+++ b/crates/nickellead_soak/src/lib.rs
@@ -1,14 +1,13 @@
-//! Randomized faults from outside the real processes, with the promises checked while they run.
+//! Soak test: randomized faults injected into real processes, with the guarantees checked meanwhile.
 //!
-//! [`draw_schedule`] makes a list of faults from a seed: processes that are
-//! stopped, paused, killed and started again, links that are slow, reset, cut
-//! one way or silent, a platform that is down, slow or loses answers, targets
-//! that leave and return. [`play_round`] starts a fleet of processes, puts a
-//! load on it, plays the schedule and judges what callers and targets recorded.
+//! [`random_schedule`] generates faults from a seed: processes that are stopped,
+//! paused, killed and restarted, links that are slow, reset, one-way or silent,
+//! a platform that is down, slow or loses responses, and targets that drain and
+//! return. [`run_round`] starts a fleet of processes, sends a load, injects the
+//! scheduled faults and checks the records of callers and targets.
 //!
-//! A paused process is also one whose clock has jumped when it wakes; nothing
-//! in the product goes by the time of day. The product keeps nothing on disks,
-//! so the storage that misbehaves is the platform's.
+//! Pausing a process also covers clock jumps: VMs use no wall clock. VMs store
+//! nothing on disk, so storage faults are injected into the platform only.
 
 mod address;
 mod error;
@@ -23,5 +22,5 @@
 pub use fleet::{FleetSize, SoakFleet};
 pub use link::{FaultLink, LinkFault, LinkHost};
 pub use process::SoakProcess;
-pub use round::{RoundReport, RoundSettings, play_round};
-pub use schedule::{Fault, ScheduledFault, draw_schedule};
+pub use round::{RoundReport, RoundSettings, run_round};
+pub use schedule::{Fault, ScheduledFault, random_schedule};
--- a/crates/nickellead_soak/src/link.rs
+++ b/crates/nickellead_soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, reset, cut one way or silenced.
+//! Loopback TCP proxy that can delay, reset, hold back or silence connections.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -10,57 +10,57 @@
 
 use crate::SoakError;
 
-/// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
-/// Links that may be asked for before the host takes them up.
-const REQUESTS: usize = 256;
+/// Maximum number of bytes per read.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Capacity of the queue of links to open.
+const LINK_QUEUE_CAPACITY: usize = 256;
 
-/// How a link misbehaves.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// It does not.
+    /// The link works.
     #[default]
     None,
-    /// Every chunk takes this much longer, in milliseconds.
+    /// Each chunk is delayed by this many milliseconds.
     Delay(u64),
-    /// Connections are reset, and new ones at once.
+    /// Open and new connections are reset.
     Reset,
-    /// What the opener sends does not arrive until the fault is over.
-    CutForth,
-    /// What the opener should receive does not arrive until the fault is over.
-    CutBack,
-    /// Nothing arrives either way, and new connections are taken and left alone.
+    /// Bytes sent by the connecting side are held back until the fault ends.
+    CutToTarget,
+    /// Bytes sent to the connecting side are held back until the fault ends.
+    CutFromTarget,
+    /// Both directions are held back; new connections are accepted but not served.
     Silent,
 }
 
 impl LinkFault {
     /// Whether bytes in this direction are held back.
-    const fn holds(self, direction: Direction) -> bool {
+    const fn holds_back(self, direction: Direction) -> bool {
         matches!(
             (self, direction),
             (Self::Silent, _)
-                | (Self::CutForth, Direction::Forth)
-                | (Self::CutBack, Direction::Back)
+                | (Self::CutToTarget, Direction::ToTarget)
+                | (Self::CutFromTarget, Direction::FromTarget)
         )
     }
 }
 
 #[derive(Clone, Copy)]
 enum Direction {
-    Forth,
-    Back,
+    ToTarget,
+    FromTarget,
 }
 
-/// One link, from the address it listens on to the one it leads to.
+/// Proxy from its own listening address to one target address.
 #[derive(Debug)]
 pub struct FaultLink {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
 }
 
 impl FaultLink {
-    /// Makes the link misbehave, or heal.
+    /// Sets the current fault; [`LinkFault::None`] ends it.
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
@@ -72,23 +72,23 @@
     fault: watch::Receiver<LinkFault>,
 }
 
-/// The thread that all links of a fleet run on.
+/// Thread that runs all links of a fleet.
 #[derive(Debug)]
 pub struct LinkHost {
     requests: mpsc::Sender<LinkRequest>,
 }
 
 impl LinkHost {
-    /// Starts the thread; it ends when the host is dropped.
+    /// Starts the thread, which ends when the host is dropped.
     ///
     /// # Errors
-    /// The system's refusal of a thread.
+    /// [`SoakError::System`] if the thread can't be started.
     pub fn start() -> Result<Self, SoakError> {
-        let (requests, mut asked) = mpsc::channel::<LinkRequest>(REQUESTS);
+        let (requests, mut received) = mpsc::channel::<LinkRequest>(LINK_QUEUE_CAPACITY);
         let host = move || {
             let Ok(runtime) = actix_rt::Runtime::new() else { return };
             runtime.block_on(async move {
-                while let Some(request) = asked.recv().await {
+                while let Some(request) = received.recv().await {
                     actix_rt::spawn(run_link(request));
                 }
             });
@@ -98,18 +98,18 @@
         Ok(Self { requests })
     }
 
-    /// Opens a link to `target`.
+    /// Opens a link that forwards connections to `target`.
     ///
     /// # Errors
-    /// The system's refusal of a port.
+    /// [`SoakError::System`] if no port can be bound.
     pub fn open(&self, target: SocketAddr) -> Result<FaultLink, SoakError> {
         let address = crate::free_address()?;
         let listener = TcpListener::bind(address).map_err(SoakError::system("a port"))?;
         listener.set_nonblocking(true).map_err(SoakError::system("a socket"))?;
-        let (fault, seen) = watch::channel(LinkFault::None);
-        let request = LinkRequest { listener, target, fault: seen };
-        let refused = |_| SoakError::NotReached("the thread of links takes no more".to_owned());
-        self.requests.blocking_send(request).map_err(refused)?;
+        let (fault, fault_receiver) = watch::channel(LinkFault::None);
+        let request = LinkRequest { listener, target, fault: fault_receiver };
+        let closed = |_| SoakError::NotReached("the link thread accepts a new link".to_owned());
+        self.requests.blocking_send(request).map_err(closed)?;
         Ok(FaultLink { address, fault })
     }
 }
@@ -120,62 +120,66 @@
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                if let Ok((opener, _)) = accepted {
-                    actix_rt::spawn(carry(opener, request.target, fault.clone()));
+                if let Ok((client, _)) = accepted {
+                    actix_rt::spawn(forward_connection(client, request.target, fault.clone()));
                 }
             }
-            // The fleet is gone.
-            gone = until_gone(&mut fault) => return gone,
+            // The handle of the link was dropped.
+            dropped = wait_until_dropped(&mut fault) => return dropped,
         }
     }
 }
 
-async fn until_gone(fault: &mut watch::Receiver<LinkFault>) {
+async fn wait_until_dropped(fault: &mut watch::Receiver<LinkFault>) {
     while fault.changed().await.is_ok() {}
 }
 
-/// Carries one connection until either side ends it or the link resets it.
-async fn carry(opener: TcpStream, target: SocketAddr, mut fault: watch::Receiver<LinkFault>) {
-    if fault.wait_for(|now| *now != LinkFault::Silent).await.is_err() {
+/// Forwards one connection until either side ends it or the link resets it.
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    mut fault: watch::Receiver<LinkFault>,
+) {
+    if fault.wait_for(|current| *current != LinkFault::Silent).await.is_err() {
         return;
     }
-    let Ok(other) = TcpStream::connect(target).await else {
-        return reset(&opener);
+    let Ok(upstream) = TcpStream::connect(target).await else {
+        return reset_on_drop(&client);
     };
-    // Both options only shorten waits.
-    let _ = (opener.set_nodelay(true), other.set_nodelay(true));
-    // A dropped stream is then reset, and so are both ends of a link that breaks.
-    reset(&opener);
-    reset(&other);
-    // Halves of this kind end nothing when they are dropped: only the reset is seen.
-    let (opener_read, opener_write) = split(opener);
-    let (other_read, other_write) = split(other);
+    // Without the option, small writes are only delayed.
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    // From here on, dropping a stream resets the connection.
+    reset_on_drop(&client);
+    reset_on_drop(&upstream);
+    // Dropping these halves does not shut the connection down, so peers see only the reset.
+    let (client_read, client_write) = split(client);
+    let (upstream_read, upstream_write) = split(upstream);
     let mut resets = fault.clone();
     tokio::select! {
-        _ = resets.wait_for(|now| *now == LinkFault::Reset) => {}
+        _ = resets.wait_for(|current| *current == LinkFault::Reset) => {}
         () = async {
             tokio::join!(
-                pump(opener_read, other_write, Direction::Forth, fault.clone()),
-                pump(other_read, opener_write, Direction::Back, fault.clone()),
+                forward_bytes(client_read, upstream_write, Direction::ToTarget, fault.clone()),
+                forward_bytes(upstream_read, client_write, Direction::FromTarget, fault.clone()),
             );
         } => {}
     }
 }
 
-/// Has the stream end with a reset when it is dropped before its end was sent.
-fn reset(stream: &TcpStream) {
-    // Without it the stream ends in the usual way, which is a gentler fault.
+/// Makes dropping the stream send a reset unless it was shut down before.
+fn reset_on_drop(stream: &TcpStream) {
+    // If this fails, the stream ends with a regular FIN, which is a milder fault.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes bytes on in one direction until their end, as the fault allows.
-async fn pump(
+/// Forwards bytes in one direction until the end of the stream, subject to the current fault.
+async fn forward_bytes(
     mut from: ReadHalf<TcpStream>,
     mut to: WriteHalf<TcpStream>,
     direction: Direction,
     mut fault: watch::Receiver<LinkFault>,
 ) {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let read = from.read(&mut chunk).await.unwrap_or(0);
         let delay = match *fault.borrow() {
@@ -183,11 +187,11 @@
             _ => Duration::ZERO,
         };
         tokio::time::sleep(delay).await;
-        if fault.wait_for(|now| !now.holds(direction)).await.is_err() {
+        if fault.wait_for(|current| !current.holds_back(direction)).await.is_err() {
             return;
         }
         if read == 0 {
-            // The other side may have ended first; then there is nobody to tell.
+            // Fails if the other side has closed already.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/nickellead_soak/src/main.rs
+++ b/crates/nickellead_soak/src/main.rs
@@ -1,55 +1,56 @@
-//! Plays rounds with seeds in a row and prints a line for each.
-#![allow(clippy::print_stdout, reason = "the lines are the program's result")]
+//! Runs rounds with consecutive seeds and prints one line per round.
+#![allow(clippy::print_stdout, reason = "the printed lines are the output of the program")]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use argh::FromArgs;
-use nickellead_soak::{FleetSize, RoundReport, RoundSettings, SoakError, play_round};
+use nickellead_soak::{FleetSize, RoundReport, RoundSettings, SoakError, run_round};
 
-/// Exit code when a round could not be played.
-const EXIT_NOT_PLAYED: u8 = 2;
+/// Exit code if a round could not run.
+const EXIT_NOT_RUN: u8 = 2;
 
-/// play rounds of random faults against real processes, and judge the promises
+/// run rounds of random faults against real processes and check the guarantees
 #[derive(FromArgs)]
 struct SoakArguments {
-    /// how many seeds (default 50)
+    /// number of seeds (default 50)
     #[argh(option, default = "50")]
     seeds: u64,
-    /// the first seed (default: drawn)
+    /// first seed (default: random)
     #[argh(option)]
     first_seed: Option<u64>,
-    /// availability zones (default 2)
+    /// number of availability zones (default 2)
     #[argh(option, default = "2")]
     zones: usize,
-    /// VMs in each zone (default 3)
+    /// number of VMs in each zone (default 3)
     #[argh(option, default = "3")]
     vms: usize,
-    /// targets in each zone (default 4)
+    /// number of targets in each zone (default 4)
     #[argh(option, default = "4")]
     targets: usize,
-    /// seconds of faults in a round (default 15)
+    /// duration of the faults of a round in seconds (default 15)
     #[argh(option, default = "15")]
     seconds: u64,
-    /// the program under test (default: beside this one)
+    /// path of the program under test (default: nickellead in the folder of this program)
     #[argh(option)]
     program: Option<PathBuf>,
-    /// folder for files and logs (default: a new one in the system's folder for such)
+    /// folder for files and logs (default: a new folder in the system's temporary folder)
     #[argh(option)]
     folder: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
     let arguments: SoakArguments = argh::from_env();
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("nickellead"));
-    let Some(program) = arguments.program.clone().or_else(beside) else {
-        println!("no program: give --program PATH");
-        return ExitCode::from(EXIT_NOT_PLAYED);
+    let sibling_program = || Some(std::env::current_exe().ok()?.parent()?.join("nickellead"));
+    let Some(program) = arguments.program.clone().or_else(sibling_program) else {
+        println!("program under test not found: set --program PATH");
+        return ExitCode::from(EXIT_NOT_RUN);
     };
-    let scratch = || std::env::temp_dir().join(format!("nickellead-soak-{}", std::process::id()));
-    let folder = arguments.folder.clone().unwrap_or_else(scratch);
-    // Seeds stay short, so that a failed one is easily typed again.
+    let temporary_folder =
+        || std::env::temp_dir().join(format!("nickellead-soak-{}", std::process::id()));
+    let folder = arguments.folder.clone().unwrap_or_else(temporary_folder);
+    // Short seeds are easy to type when a failed round is repeated.
     let first = arguments.first_seed.unwrap_or_else(|| fastrand::u64(1_000..1_000_000));
     let size = FleetSize {
         zones: arguments.zones.max(1),
@@ -59,13 +60,14 @@
     let (mut broken, mut not_played) = (0, 0);
     for seed in first..first.saturating_add(arguments.seeds) {
         let folder = folder.join(seed.to_string());
-        let length = Duration::from_secs(arguments.seconds);
-        let settings = RoundSettings { program: program.clone(), folder, size, length, seed };
-        let result = play_round(&settings);
+        let fault_duration = Duration::from_secs(arguments.seconds);
+        let settings =
+            RoundSettings { program: program.clone(), folder, size, fault_duration, seed };
+        let result = run_round(&settings);
         print_round(seed, &result);
         match result {
             Ok(report) if report.is_clean() => {
-                // Only findings keep their logs; a folder that stays does no harm.
+                // Only failed rounds keep their logs; a leftover folder is harmless.
                 let _ = std::fs::remove_dir_all(&settings.folder);
             }
             Ok(_) => broken += 1,
@@ -79,7 +81,7 @@
     );
     match (broken, not_played) {
         (0, 0) => ExitCode::SUCCESS,
-        (0, _) => ExitCode::from(EXIT_NOT_PLAYED),
+        (0, _) => ExitCode::from(EXIT_NOT_RUN),
         _ => ExitCode::FAILURE,
     }
 }
--- a/crates/nickellead_soak/tests/links.rs
+++ b/crates/nickellead_soak/tests/links.rs
@@ -1,4 +1,4 @@
-//! What a link does to a connection, seen from both of its ends.
+//! Effects of link faults on both ends of a connection.
 #![allow(clippy::unwrap_used)]
 
 use std::io::{ErrorKind, Read, Write};
@@ -7,10 +7,10 @@
 
 use nickellead_soak::{FaultLink, LinkFault, LinkHost};
 
-/// Longer than a healthy link takes, shorter than a test wants to wait.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Time after which a byte counts as held back.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A host with one link, and what listens behind it.
+/// Starts a host with one link to a listener.
 fn open() -> (LinkHost, FaultLink, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let host = LinkHost::start().unwrap();
@@ -18,17 +18,17 @@
     (host, link, listener)
 }
 
-/// A connection over the link: the opener's end and the other one.
+/// Connects through the link; returns the connecting and the accepting end.
 fn connect(link: &FaultLink, listener: &TcpListener) -> (TcpStream, TcpStream) {
-    let opener = TcpStream::connect(link.address).unwrap();
-    let (other, _) = listener.accept().unwrap();
-    for stream in [&opener, &other] {
-        stream.set_read_timeout(Some(SILENCE)).unwrap();
+    let client = TcpStream::connect(link.address).unwrap();
+    let (server, _) = listener.accept().unwrap();
+    for stream in [&client, &server] {
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     }
-    (opener, other)
+    (client, server)
 }
 
-/// Whether one byte arrives within the time that a healthy link needs.
+/// Whether one byte arrives within [`READ_TIMEOUT`].
 fn arrives(mut from: &TcpStream, mut to: &TcpStream) -> bool {
     from.write_all(b"x").unwrap();
     match to.read_exact(&mut [0]) {
@@ -41,57 +41,57 @@
 }
 
 #[test]
-fn a_healthy_link_carries_bytes_both_ways_and_the_end() {
+fn a_working_link_forwards_bytes_both_ways_and_the_end_of_the_stream() {
     let (_host, link, listener) = open();
-    let (opener, mut other) = connect(&link, &listener);
-    assert!(arrives(&opener, &other) && arrives(&other, &opener));
-    drop(opener);
-    assert_eq!(other.read(&mut [0]).unwrap_or(0), 0);
+    let (client, mut server) = connect(&link, &listener);
+    assert!(arrives(&client, &server) && arrives(&server, &client));
+    drop(client);
+    assert_eq!(server.read(&mut [0]).unwrap_or(0), 0);
 }
 
 #[test]
-fn a_cut_of_one_way_holds_bytes_until_it_heals() {
+fn a_one_way_cut_holds_bytes_back_until_it_ends() {
     let (_host, link, listener) = open();
-    let (opener, other) = connect(&link, &listener);
-    link.set(LinkFault::CutForth);
-    assert!(!arrives(&opener, &other));
-    assert!(arrives(&other, &opener));
+    let (client, server) = connect(&link, &listener);
+    link.set(LinkFault::CutToTarget);
+    assert!(!arrives(&client, &server));
+    assert!(arrives(&server, &client));
     link.set(LinkFault::None);
-    (&other).read_exact(&mut [0]).unwrap();
-    link.set(LinkFault::CutBack);
-    assert!(!arrives(&other, &opener));
-    assert!(arrives(&opener, &other));
+    (&server).read_exact(&mut [0]).unwrap();
+    link.set(LinkFault::CutFromTarget);
+    assert!(!arrives(&server, &client));
+    assert!(arrives(&client, &server));
 }
 
 #[test]
-fn a_silent_link_takes_connections_and_answers_nothing() {
+fn a_silent_link_accepts_connections_and_forwards_nothing() {
     let (_host, link, listener) = open();
     link.set(LinkFault::Silent);
-    let mut opener = TcpStream::connect(link.address).unwrap();
-    opener.set_read_timeout(Some(SILENCE)).unwrap();
-    opener.write_all(b"x").unwrap();
-    assert!(opener.read(&mut [0]).is_err());
+    let mut client = TcpStream::connect(link.address).unwrap();
+    client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    client.write_all(b"x").unwrap();
+    assert!(client.read(&mut [0]).is_err());
     link.set(LinkFault::None);
-    let (mut other, _) = listener.accept().unwrap();
-    other.read_exact(&mut [0]).unwrap();
+    let (mut server, _) = listener.accept().unwrap();
+    server.read_exact(&mut [0]).unwrap();
 }
 
 #[test]
 fn a_reset_ends_open_connections_with_an_error() {
     let (_host, link, listener) = open();
-    let (opener, other) = connect(&link, &listener);
-    assert!(arrives(&opener, &other));
+    let (client, server) = connect(&link, &listener);
+    assert!(arrives(&client, &server));
     link.set(LinkFault::Reset);
-    let error = (&opener).read(&mut [0]).unwrap_err();
+    let error = (&client).read(&mut [0]).unwrap_err();
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
 }
 
 #[test]
-fn a_slow_link_carries_bytes_later() {
+fn a_delayed_link_forwards_bytes_later() {
     let (_host, link, listener) = open();
-    let (opener, other) = connect(&link, &listener);
+    let (client, server) = connect(&link, &listener);
     link.set(LinkFault::Delay(120));
-    let begun = Instant::now();
-    assert!(arrives(&opener, &other));
-    assert!(begun.elapsed() >= Duration::from_millis(120));
+    let start = Instant::now();
+    assert!(arrives(&client, &server));
+    assert!(start.elapsed() >= Duration::from_millis(120));
 }
