--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -72,7 +72,7 @@
 }
 
 fn lose_target(fleet: &mut Fleet, target: usize) -> u64 {
-    let key = fleet.key_of(target);
+    let key = fleet.find_key_of(target);
     fleet.kill_target(target);
     let time = time_until_served(fleet, 0, &key);
     fleet.start_target(target);
@@ -90,7 +90,7 @@
         let load = fleet.load(5, &others);
         fleet.kill_vm(leader);
         let report = load.join().unwrap();
-        fleet.judge(&report);
+        fleet.check_guarantees(&report);
         answered += report.answered;
         failed += report.refused + report.unknown;
         fleet.start_vm(leader);
@@ -110,16 +110,16 @@
         let leader = fleet.coordinator("zone-a").unwrap();
         let other = (0..3).find(|vm| *vm != leader).unwrap();
         let target = round % 3;
-        let key = fleet.key_of(target);
+        let key = fleet.find_key_of(target);
         fleet.kill_target(target);
         fleet.kill_vm(leader);
         let start = Instant::now();
         // The platform's list shows the VM gone one second later.
         std::thread::sleep(Duration::from_secs(1));
-        fleet.set_listed(&fleet.list_without(leader));
+        fleet.set_vm_list(&fleet.vm_list_without(leader));
         time_until_served(&fleet, other, &key);
         times.push(start.elapsed().as_millis() as u64);
-        fleet.set_listed(&fleet.list_all());
+        fleet.set_vm_list(&fleet.vm_list());
         fleet.start_vm(leader);
         fleet.start_target(target);
         fleet.wait_for_zone(0);
@@ -135,7 +135,7 @@
         let load = fleet.load(3, &[0, 1, 2]);
         fleet.declare_target(round % 3, "draining");
         let report = load.join().unwrap();
-        fleet.judge(&report);
+        fleet.check_guarantees(&report);
         answered += report.answered;
         failed += report.refused + report.unknown;
         latencies.push(report.latency_us);
@@ -155,9 +155,9 @@
 fn lose_platform() {
     let fleet = fleet("outage");
     let load = fleet.load(15, &[0, 1, 2]);
-    fleet.set_platform(r#"{"down": true}"#);
+    fleet.set_platform_faults(r#"{"down": true}"#);
     let report = load.join().unwrap();
-    fleet.judge(&report);
+    fleet.check_guarantees(&report);
     let failed = report.refused + report.unknown;
     let answered = report.answered;
     println!("scenario=platform-outage seconds=15 answered={answered} refused_or_unknown={failed}");
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment of processes that tests disturb.
+//! A deployment of processes into which tests inject faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 
 use super::{Process, free_address, request, run, write_file};
 
-/// Loads so far, so that each numbers its operations differently.
-static LOADS: AtomicU64 = AtomicU64::new(1);
+/// Seed of the next load, so that operation ids differ between loads.
+static NEXT_LOAD_SEED: AtomicU64 = AtomicU64::new(1);
 
-/// What a fleet is made of.
+/// Size and settings of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSpec {
-    /// A word of its own, so that fleets of one process do not share files.
+    /// Unique prefix of file names, so that fleets of one process do not share files.
     pub label: &'static str,
     pub zones: usize,
     pub vms_per_zone: usize,
     pub targets_per_zone: usize,
     pub shards: u32,
     pub service_us: u32,
-    /// Request workers of each VM.
+    /// Number of request workers per VM.
     pub workers: u16,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every target serves.
+    /// Starts all processes and waits until every target serves.
     pub fn start(spec: FleetSpec) -> Self {
         let platform_address = free_address();
         let addresses: Vec<[SocketAddr; 3]> = (0..spec.zones * spec.vms_per_zone)
@@ -127,7 +127,7 @@
         self.start_target(number);
     }
 
-    /// Starts a target's process anew, holding nothing.
+    /// Starts a new process of a target, which owns no shards.
     pub fn start_target(&mut self, number: usize) {
         let target = &mut self.targets[number];
         let mut process = Process::start(&[
@@ -161,7 +161,7 @@
         self.start_vm(number);
     }
 
-    /// Starts a VM's process anew, with an empty memory.
+    /// Starts a new process of a VM, without any state.
     pub fn start_vm(&mut self, number: usize) {
         let vm = &mut self.vms[number];
         let mut process = Process::start(&["run", "--settings", vm.settings.to_str().unwrap()]);
@@ -198,12 +198,12 @@
         )
     }
 
-    /// Declares a target's state, as an operator does.
+    /// Declares the state of a target through the operators' API.
     pub fn declare_target(&self, number: usize, state: &str) {
         self.apply(&self.declaration(number, state));
     }
 
-    /// Declares objects, as an operator does.
+    /// Applies declarations through the operators' API.
     pub fn apply(&self, objects: &str) {
         let file = write_file(&format!("{}-declared.json", self.spec.label), objects);
         let operators = self.vms[0].operators.to_string();
@@ -211,7 +211,7 @@
         assert_eq!(code, Some(0), "{errors}");
     }
 
-    /// Asks the VMs until the coordinator of a zone shows every target live and every shard owned.
+    /// Waits until the coordinator of a zone reports every target live and every shard owned.
     pub fn wait_for_zone(&self, zone: usize) {
         let zone = zone_name(zone);
         let shards = self.spec.shards as usize / self.spec.zones;
@@ -231,13 +231,13 @@
         self.wait_for_vms(&zone);
     }
 
-    /// Asks until every VM of a zone is ready and the mandate names its standbys.
+    /// Waits until every VM of a zone is ready and the mandate (leader lease) names its standbys.
     fn wait_for_vms(&self, zone: &str) {
-        let runs = |vm: &&FleetVm| vm.zone == zone && vm.process.is_some();
-        let running = self.vms.iter().filter(runs).count();
+        let is_running = |vm: &&FleetVm| vm.zone == zone && vm.process.is_some();
+        let running = self.vms.iter().filter(is_running).count();
         self.wait_until("every VM ready and the standbys named", |fleet| {
             let ready = |vm: &FleetVm| request(vm.operators, "GET", "/readyz").contains(" 200 ");
-            let all_ready = fleet.vms.iter().filter(runs).all(ready);
+            let all_ready = fleet.vms.iter().filter(is_running).all(ready);
             let Some(leader) = fleet.coordinator(zone) else { return false };
             let status = request(fleet.vms[leader].operators, "GET", "/v1/status");
             let standbys =
@@ -247,18 +247,18 @@
         });
     }
 
-    /// The platform's list of VMs as it was at the start.
-    pub fn list_all(&self) -> String {
-        self.list_where(|_| true)
+    /// Returns the platform's list of all VMs.
+    pub fn vm_list(&self) -> String {
+        self.vm_list_where(|_| true)
     }
 
-    /// The list without one VM.
-    pub fn list_without(&self, gone: usize) -> String {
-        self.list_where(|number| number != gone)
+    /// Returns the platform's list without one VM.
+    pub fn vm_list_without(&self, excluded: usize) -> String {
+        self.vm_list_where(|number| number != excluded)
     }
 
-    fn list_where(&self, shown: impl Fn(usize) -> bool) -> String {
-        let numbered = self.vms.iter().enumerate().filter(|(number, _)| shown(*number));
+    fn vm_list_where(&self, is_listed: impl Fn(usize) -> bool) -> String {
+        let numbered = self.vms.iter().enumerate().filter(|(number, _)| is_listed(*number));
         let line = |(_, vm): (usize, &FleetVm)| {
             format!(
                 r#"{{"vm": "{}", "zone": "{}", "address": "{}", "state": "live"}}"#,
@@ -268,59 +268,59 @@
         format!("[{}]", numbered.map(line).collect::<Vec<_>>().join(","))
     }
 
-    /// Changes the platform's list of VMs.
-    pub fn set_listed(&self, list: &str) {
-        self.administer("vms", list);
+    /// Replaces the platform's list of VMs.
+    pub fn set_vm_list(&self, list: &str) {
+        self.post_admin("vms", list);
     }
 
-    /// Changes how the platform fails.
-    pub fn set_platform(&self, faults: &str) {
-        self.administer("faults", faults);
+    /// Replaces the faults of the platform's stand-in.
+    pub fn set_platform_faults(&self, faults: &str) {
+        self.post_admin("faults", faults);
     }
 
-    fn administer(&self, what: &str, body: &str) {
+    fn post_admin(&self, what: &str, body: &str) {
         let length = body.len();
-        let answer = super::exchange(
+        let response = super::exchange(
             self.platform_address,
             &format!(
                 "POST /admin/{what} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\
                  content-length: {length}\r\n\r\n{body}"
             ),
         );
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 
-    /// The newest version of a declared object.
+    /// Returns the highest version of any declared object.
     pub fn platform_revision(&self) -> u64 {
         let list = request(self.platform_address, "GET", "/v1/objects");
         let versions = list.split("\"version\":").skip(1);
         versions.filter_map(|rest| rest.split([',', '}']).next()?.parse().ok()).max().unwrap()
     }
 
-    /// Repeats a question until it is answered with yes; fails after half a minute.
+    /// Polls a condition until it holds; panics after 30 s.
     pub fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let end = std::time::Instant::now() + Duration::from_secs(30);
+        let deadline = std::time::Instant::now() + Duration::from_secs(30);
         while !holds(self) {
-            assert!(std::time::Instant::now() < end, "not reached: {what}");
+            assert!(std::time::Instant::now() < deadline, "not reached in time: {what}");
             std::thread::yield_now();
         }
     }
 
-    /// The VM that says it coordinates a zone.
+    /// Returns the VM that reports itself as coordinator of a zone.
     pub fn coordinator(&self, zone: &str) -> Option<usize> {
-        let runs = |vm: &FleetVm| vm.zone == zone && vm.process.is_some();
-        (0..self.vms.len()).filter(|number| runs(&self.vms[*number])).find(|number| {
+        let is_running = |vm: &FleetVm| vm.zone == zone && vm.process.is_some();
+        (0..self.vms.len()).filter(|number| is_running(&self.vms[*number])).find(|number| {
             let status = request(self.vms[*number].operators, "GET", "/v1/status");
             status.contains(r#""phase":"leading""#) || status.contains(r#""phase":"detached""#)
         })
     }
 
-    /// Takes a target's process away at once.
+    /// Kills the process of a target.
     pub fn kill_target(&mut self, number: usize) {
         self.targets[number].process = None;
     }
 
-    /// Takes a VM's process away at once.
+    /// Kills the process of a VM.
     pub fn kill_vm(&mut self, number: usize) {
         self.vms[number].process = None;
     }
@@ -337,7 +337,7 @@
         self.vms[number].process.as_ref().unwrap().signal(signal);
     }
 
-    /// Callers that book and look for a bounded time, through these VMs.
+    /// Starts callers that send `book` and `look` operations through these VMs for a bounded time.
     pub fn load(&self, seconds: u64, vms: &[usize]) -> JoinHandle<LoadReport> {
         let entry_addresses = vms.iter().map(|vm| self.vms[*vm].callers).collect();
         let group = |operation: &str, method: &str, at_most_once: bool| CallerSettings {
@@ -353,19 +353,19 @@
             groups: vec![group("book", "POST", true), group("look", "GET", false)],
             duration: Duration::from_secs(seconds),
             think_time: Duration::from_millis(4),
-            seed: LOADS.fetch_add(1, Ordering::Relaxed),
+            seed: NEXT_LOAD_SEED.fetch_add(1, Ordering::Relaxed),
         };
         std::thread::spawn(move || actix_rt::Runtime::new().unwrap().block_on(run_load(settings)))
     }
 
-    /// Every effect that targets recorded, also those of targets that were killed.
+    /// Returns the recorded effects of all targets, including killed ones.
     pub fn effects(&self) -> Vec<EffectRecord> {
         let read = |target: &FleetTarget| read_effects(&target.effects).unwrap();
         self.targets.iter().flat_map(read).collect()
     }
 
-    /// A key that a target owns now, found by asking until its journal grows.
-    pub fn key_of(&self, number: usize) -> String {
+    /// Returns a key that a target owns now: requests keys until the target records an effect.
+    pub fn find_key_of(&self, number: usize) -> String {
         let path = &self.targets[number].effects;
         let mut before = read_effects(path).unwrap().len();
         for key in (0..4_000).map(|key| format!("probe-{key}")) {
@@ -379,13 +379,13 @@
         panic!("{} owns none of the keys", self.targets[number].name);
     }
 
-    /// Waits until a target has run something.
+    /// Waits until a target has recorded an effect.
     pub fn wait_for_effects(&self, number: usize) {
         let path = &self.targets[number].effects;
         self.wait_until("the target runs requests", |_| !read_effects(path).unwrap().is_empty());
     }
 
-    /// Shards that had effects under more than one epoch.
+    /// Returns the number of shards with effects under more than one epoch.
     pub fn moved_shards(&self) -> usize {
         let mut epochs: BTreeMap<u32, BTreeSet<u64>> = BTreeMap::new();
         for effect in self.effects() {
@@ -394,15 +394,15 @@
         epochs.values().filter(|epochs| epochs.len() > 1).count()
     }
 
-    /// Judges a load against the targets' records; panics when a promise broke.
-    pub fn judge(&self, report: &LoadReport) -> Verdict {
+    /// Checks a load against the targets' records; panics on a violated guarantee.
+    pub fn check_guarantees(&self, report: &LoadReport) -> Verdict {
         let verdict = evaluate_run(&self.effects(), report);
         assert!(verdict.has_no_violations(), "{verdict:?}; callers saw {:?}", report.errors);
         verdict
     }
 }
 
-/// The number that follows a word in a text.
+/// Parses the number that follows a word in a text.
 pub fn number_after(text: &str, word: &str) -> Option<u64> {
     let rest = text.split(word).nth(1)?;
     rest.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Processes of the program under test, ended when dropped.
+//! Helpers for tests that run the program as processes, which are killed when dropped.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic)]
 
 pub mod fleet;
@@ -11,17 +11,16 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long an event is waited for before a test fails instead of hanging.
+/// Maximum time to wait for an event, so that a test fails instead of hanging.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Names the environment variable that makes tests print the events of all processes.
-const SHOW_EVENTS: &str = "NICKELLEAD_SHOW_EVENTS";
+/// Environment variable that makes tests print the events of all processes.
+const SHOW_EVENTS_VARIABLE: &str = "NICKELLEAD_SHOW_EVENTS";
 
 /// Held while a port is probed and while a process is started.
 ///
-/// A child that has been forked but not yet replaced by its program holds a copy
-/// of every open socket. Without the lock it may hold the probe's listener a
-/// moment longer than the probe, and the port that was found free is in use.
+/// Between fork and exec, a child holds a copy of every open socket. Without the lock
+/// it may keep the listener of a probe open, so that the probed port is still in use.
 static SPAWN_OR_PROBE: Mutex<()> = Mutex::new(());
 
 /// Starts a command while no port is being probed.
@@ -30,41 +29,41 @@
     command.spawn().unwrap()
 }
 
-/// One process, whose events are read from standard error.
+/// Process of the program; its events are read from standard error.
 pub struct Process {
     child: Child,
     lines: Receiver<String>,
 }
 
 impl Process {
-    /// Starts the program with these arguments.
+    /// Starts the program and a thread that reads its events.
     pub fn start(arguments: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nickellead"));
         command.args(arguments).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = spawn(&mut command);
         let errors = BufReader::new(child.stderr.take().unwrap());
         let (sender, lines) = channel();
-        let shown = std::env::var_os(SHOW_EVENTS).is_some();
+        let is_shown = std::env::var_os(SHOW_EVENTS_VARIABLE).is_some();
         let id = child.id();
         std::thread::spawn(move || {
             for line in errors.lines().map_while(Result::ok) {
-                if shown {
+                if is_shown {
                     eprintln!("process={id} {line}");
                 }
-                // The test may have ended.
+                // Fails if the test has ended.
                 let _ = sender.send(line);
             }
         });
         Self { child, lines }
     }
 
-    /// Reads events until one holds all the words; panics when the process ends before.
+    /// Reads events until one contains all words; panics if the process ends first or on timeout.
     pub fn wait_for(&mut self, words: &[&str]) -> String {
         let mut seen = String::new();
         loop {
             let line = match self.lines.recv_timeout(EVENT_TIMEOUT) {
                 Ok(line) => line,
-                Err(error) => panic!("no {words:?} ({error}); it said:\n{seen}"),
+                Err(error) => panic!("no event with {words:?} ({error}); events so far:\n{seen}"),
             };
             if words.iter().all(|word| line.contains(word)) {
                 return line;
@@ -74,19 +73,19 @@
         }
     }
 
-    /// Number of the process, for signals.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal given by name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let mut command = Command::new("kill");
         command.args(["-s", name, &self.id().to_string()]);
         assert!(spawn(&mut command).wait().unwrap().success());
     }
 
-    /// Waits for the end and returns the exit code.
+    /// Waits for the exit; returns `None` if a signal ended the process.
     pub fn exit_code(mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
@@ -99,7 +98,7 @@
     }
 }
 
-/// Runs a command of the program to its end: exit code, standard output, standard error.
+/// Runs a command of the program; returns its exit code, standard output and standard error.
 pub fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_nickellead"));
     command.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -108,14 +107,14 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// An address on the loopback that nobody listens on, given out once.
+/// Returns an unused loopback address, each at most once.
 pub fn free_address() -> SocketAddr {
     let _guard = SPAWN_OR_PROBE.lock().unwrap_or_else(PoisonError::into_inner);
     nickellead_soak::free_address().unwrap()
 }
 
-/// Reads one answer with a length from a connection that stays open.
-pub fn read_answer(stream: &mut TcpStream) -> String {
+/// Reads one response with a content length from a keep-alive connection.
+pub fn read_response(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut buffer = [0; 4_096];
     loop {
@@ -134,7 +133,7 @@
     }
 }
 
-/// A file in a folder of this test process's own.
+/// Writes a file to the folder of this test process and returns its path.
 pub fn write_file(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(std::process::id().to_string());
     std::fs::create_dir_all(&folder).unwrap();
@@ -143,17 +142,17 @@
     path
 }
 
-/// Sends raw bytes and returns all that comes back until the other side closes.
+/// Sends a raw request and returns everything received until the peer closes the connection.
 pub fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
-/// One request with no body, on a connection of its own.
+/// Sends one request without a body on a new connection and returns the response.
 pub fn request(address: SocketAddr, method: &str, path: &str) -> String {
     exchange(
         address,
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,8 +1,6 @@
-//! What a VM of `nickellead run` tells one that follows it.
+//! Size of the updates that a VM of `nickellead run` sends to its followers.
 //!
-//! Seen: on a large fleet declarations were in force too late. How: each change went whole to
-//! each VM. Cause: a follower named the revision that it knew, and was told everything if there
-//! was a newer one. Proof: the bytes of the answers, with 2,000 targets declared.
+//! Guards against sending all declarations to each follower for a change of one target.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 mod common;
@@ -18,12 +16,12 @@
     PeerRequest, PeerVm,
 };
 
-/// Targets declared beside the one that serves.
-const TARGETS: usize = 2_000;
-/// Most bytes of an answer that tells a change of one target, with all that the answer holds besides.
-const SMALL_ANSWER: usize = 1_024;
+/// Number of declared targets besides the one that serves.
+const SPARE_TARGETS: usize = 2_000;
+/// Maximum size in bytes of a response with the change of one target.
+const MAX_CHANGE_BYTES: usize = 1_024;
 
-/// A service in a zone without VMs, whose targets nobody calls.
+/// Declares a service in a zone without VMs, whose targets receive no requests.
 fn declarations() -> String {
     let service = r#"{"kind": "service", "name": "spares", "spec": {"zones": ["zone-z"],
         "shards": 64, "key": {"from": "path", "segment": 2},
@@ -35,16 +33,16 @@
             10_000 + number
         )
     };
-    let targets: Vec<String> = (0..TARGETS).map(target).collect();
+    let targets: Vec<String> = (0..SPARE_TARGETS).map(target).collect();
     format!("[{service},{}]", targets.join(","))
 }
 
-/// A follower of one VM.
+/// Client that follows one VM.
 struct Follower {
     client: PeerClient,
     own: PeerVm,
     known: ConfigHistory,
-    /// The owners that it knows, so that they are not told again.
+    /// Known versions of the owners, which the VM then does not send again.
     zones: BTreeMap<ZoneKey, KnownZone>,
 }
 
@@ -65,8 +63,8 @@
         }
     }
 
-    /// Asks until declarations are told; gives the answer's bytes.
-    async fn follow(&mut self) -> usize {
+    /// Sends requests until a response contains declarations; returns its size in bytes.
+    async fn next_config(&mut self) -> usize {
         loop {
             let request = FollowRequest {
                 from: self.own.clone(),
@@ -74,10 +72,12 @@
                 config: self.known.state(),
                 wait_ms: 1_000,
             };
-            let limit = Duration::from_secs(5);
-            let answer = self.client.call(&PeerRequest::Follow(request), limit).await.unwrap();
-            let PeerReply::Follow(reply) = answer else { panic!("no answer: {answer:?}") };
-            if self.take(*reply) {
+            let timeout = Duration::from_secs(5);
+            let response = self.client.call(&PeerRequest::Follow(request), timeout).await.unwrap();
+            let PeerReply::Follow(reply) = response else {
+                panic!("unexpected response: {response:?}")
+            };
+            if self.apply(*reply) {
                 return self.client.progress().bytes;
             }
         }
@@ -87,19 +87,19 @@
         self.known.newest().unwrap().revision.0
     }
 
-    /// Takes an answer; tells whether it held declarations.
-    fn take(&mut self, reply: FollowReply) -> bool {
+    /// Applies a response; returns whether it contained declarations.
+    fn apply(&mut self, reply: FollowReply) -> bool {
         for delta in reply.zones {
             let (zone, term, version) = (delta.zone, delta.term, delta.version);
             self.zones.insert(zone, KnownZone { zone, term, version });
         }
-        let Some(news) = reply.config else { return false };
-        self.known.apply_update(news).unwrap()
+        let Some(update) = reply.config else { return false };
+        self.known.apply_update(update).unwrap()
     }
 }
 
 #[test]
-fn a_change_of_one_target_is_told_in_few_bytes() {
+fn a_change_of_one_target_is_sent_as_a_small_update() {
     let fleet = Fleet::start(FleetSpec {
         label: "follow",
         vms_per_zone: 1,
@@ -108,18 +108,20 @@
     });
     fleet.apply(&declarations());
     actix_rt::System::new().block_on(async {
-        let mut early = Follower::new(fleet.vms[0].peers);
-        early.follow().await;
-        while early.revision() < fleet.platform_revision() {
-            early.follow().await;
+        let mut first_follower = Follower::new(fleet.vms[0].peers);
+        first_follower.next_config().await;
+        while first_follower.revision() < fleet.platform_revision() {
+            first_follower.next_config().await;
         }
-        // One that knows nothing is told everything.
+        // A new follower receives all declarations.
         let mut follower = Follower::new(fleet.vms[0].peers);
-        let whole = follower.follow().await;
-        assert!(whole > 100 * TARGETS / 4, "{whole} bytes of all declarations");
+        let full = follower.next_config().await;
+        assert!(full > 100 * SPARE_TARGETS / 4, "{full} bytes of all declarations");
         fleet.declare_target(0, "draining");
-        let change = follower.follow().await;
-        eprintln!("{TARGETS} targets: all declarations {whole} bytes, one change {change} bytes");
-        assert!(change < SMALL_ANSWER, "{change} bytes for one target of {TARGETS}");
+        let change = follower.next_config().await;
+        eprintln!(
+            "{SPARE_TARGETS} targets: all declarations {full} bytes, one change {change} bytes"
+        );
+        assert!(change < MAX_CHANGE_BYTES, "{change} bytes for one target of {SPARE_TARGETS}");
     });
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs are never waited for.
+//! Guards against requests that block because the log output is not read.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -8,10 +8,10 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Requests sent while nobody reads the log: far more lines than the pipe and the ring hold.
-const REQUESTS: usize = 12_000;
+/// Number of requests, which log far more lines than the pipe and the ring buffer hold.
+const REQUEST_COUNT: usize = 12_000;
 
-fn settings(callers: SocketAddr, readiness: SocketAddr) -> std::path::PathBuf {
+fn write_settings(callers: SocketAddr, readiness: SocketAddr) -> std::path::PathBuf {
     let (peers, store) = (common::free_address(), common::free_address());
     let text = format!(
         r#"{{"vm": "vm-0", "zone": "zone-a", "callers_address": "{callers}",
@@ -21,19 +21,18 @@
     common::write_file("logs-vm.json", &text)
 }
 
-fn ask(stream: &mut TcpStream) {
+fn send_request(stream: &mut TcpStream) {
     let request = "GET /a/ HTTP/1.1\r\nhost: a\r\nx-request-id: r\r\n\r\n";
     stream.write_all(request.as_bytes()).unwrap();
-    let answer = common::read_answer(stream);
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    let response = common::read_response(stream);
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
 }
 
-/// Nobody reads the log, and callers are answered all the same.
 #[test]
-fn a_full_pipe_of_logs_stops_no_request() {
+fn a_full_log_pipe_blocks_no_request() {
     let (callers, readiness) = (common::free_address(), common::free_address());
     let mut command = Command::new(env!("CARGO_BIN_EXE_nickellead"));
-    command.args(["gateway", "--settings"]).arg(settings(callers, readiness));
+    command.args(["gateway", "--settings"]).arg(write_settings(callers, readiness));
     command.stdout(Stdio::piped()).stderr(Stdio::null());
     let mut child = common::spawn(&mut command);
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
@@ -41,7 +40,7 @@
     let started = Instant::now();
     let mut stream = TcpStream::connect(callers).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    (0..REQUESTS).for_each(|_| ask(&mut stream));
+    (0..REQUEST_COUNT).for_each(|_| send_request(&mut stream));
     assert!(started.elapsed() < Duration::from_secs(30));
     child.kill().unwrap();
     child.wait().unwrap();
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -1,5 +1,5 @@
-//! Callers that reach a VM as soon as it says that it is ready, on a machine that is kept busy: alone in its
-//! file, so that no other test runs beside it.
+//! Requests to a VM as soon as it reports that it is ready, on a busy machine. The test is alone in its
+//! file so that no other test runs at the same time.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -11,14 +11,9 @@
 
 use common::fleet::{Fleet, FleetSpec};
 
-// Seen: requests refused as unknown-service or owner-unknown right after planned stops, in 3 of 138 runs of
-// planned_stops_of_all_vms_one_after_another_cut_nothing, two of which ran side by side.
-// How: a VM that had just started said that it was ready, and callers came.
-// Cause: it said so once declarations and owners were on their way to its request workers, which took them
-// over later: by milliseconds on a busy machine.
-// Proof: the lines of all processes; and callers that do not wait for readiness keep the workers busy here.
+/// Guards against a VM that reports readiness before its request workers have applied declarations and owners.
 #[test]
-fn a_vm_that_says_that_it_is_ready_serves() {
+fn a_vm_that_reports_readiness_serves() {
     let spec = FleetSpec { label: "ready", workers: 48, ..FleetSpec::default() };
     let mut fleet = Fleet::start(spec);
     for _ in 0..6 {
@@ -36,7 +31,7 @@
             let eager = || eager_caller(callers, &ready, &ended);
             let eager: Vec<_> = (0..EAGER_CALLERS).map(|_| scope.spawn(eager)).collect();
             fleet.start_vm(0);
-            // What it says is heard at once.
+            // Busy polling detects readiness without delay.
             while !common::request(operators, "GET", "/readyz").contains(" 200 ") {}
             ready.store(true, Ordering::SeqCst);
             std::thread::sleep(Duration::from_millis(100));
@@ -47,15 +42,15 @@
     }
 }
 
-/// Threads that keep the machine busy meanwhile, so that those of the VM run by turns.
+/// Number of threads that keep all cores busy, so that the threads of the VM are preempted.
 const BUSY_THREADS: usize = 24;
-/// Callers that do not ask whether the VM is ready.
+/// Number of callers that send requests without waiting for readiness.
 const EAGER_CALLERS: usize = 120;
 
-/// Errors of a VM that does not know enough to serve.
-const UNINFORMED: [&str; 3] = ["unknown-service", "owner-unknown", "not-configured"];
+/// Error codes of a VM without declarations or owners.
+const NOT_READY_ERRORS: [&str; 3] = ["unknown-service", "owner-unknown", "not-configured"];
 
-/// Asks on one connection after another; gives refusals of what was sent after the VM said that it is ready.
+/// Sends requests on successive connections; returns the refusals of requests sent after readiness.
 fn eager_caller(callers: SocketAddr, ready: &AtomicBool, ended: &AtomicBool) -> Vec<String> {
     let mut refused = Vec::new();
     while !ended.load(Ordering::SeqCst) {
@@ -66,13 +61,13 @@
         stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
         for _ in 0..50 {
             let was_ready = ready.load(Ordering::SeqCst);
-            let asked = stream.write_all(b"GET /boards/look/key-1 HTTP/1.1\r\nhost: t\r\n\r\n");
-            let answer = common::read_answer(&mut stream);
-            if asked.is_err() || answer.is_empty() {
+            let sent = stream.write_all(b"GET /boards/look/key-1 HTTP/1.1\r\nhost: t\r\n\r\n");
+            let response = common::read_response(&mut stream);
+            if sent.is_err() || response.is_empty() {
                 break;
             }
-            if was_ready && UNINFORMED.iter().any(|code| answer.contains(code)) {
-                refused.push(answer);
+            if was_ready && NOT_READY_ERRORS.iter().any(|code| response.contains(code)) {
+                refused.push(response);
             }
         }
     }
--- a/tests/resources.rs
+++ b/tests/resources.rs
@@ -1,4 +1,4 @@
-//! The resource API and its commands, against processes.
+//! The resource API and its commands, run against processes.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -42,9 +42,9 @@
         (target("4", "zone-x"), "zone"),
     ];
     for (body, field) in wrong {
-        let answer = put(fleet.vms[0].operators, "/v1/objects/target/new?version=0", &body);
-        assert!(answer.starts_with("HTTP/1.1 422"), "{answer}");
-        assert!(answer.contains(&format!(r#""field":"{field}""#)), "{answer}");
+        let response = put(fleet.vms[0].operators, "/v1/objects/target/new?version=0", &body);
+        assert!(response.starts_with("HTTP/1.1 422"), "{response}");
+        assert!(response.contains(&format!(r#""field":"{field}""#)), "{response}");
     }
     let stale =
         put(fleet.vms[0].operators, "/v1/objects/target/board-0?version=1", &target("5", "zone-a"));
@@ -78,15 +78,15 @@
     assert!(table.contains("board-0") && table.contains("draining"), "{table}");
     assert!(
         table.contains("in_force=true shards=64"),
-        "a target without others keeps all: {table}"
+        "the only target keeps its shards while draining: {table}"
     );
 
     let metrics = request(fleet.vms[0].operators, "GET", "/metrics");
     assert!(metrics.contains("nickellead_requests_total"), "{metrics}");
 }
 
-/// Reads a target, adds a slot, writes with the version read; tells whether it was accepted.
-fn raise_once(operators: SocketAddr, address: SocketAddr) -> bool {
+/// Increments the slots of a target with the version read before; returns whether it was accepted.
+fn try_add_slot(operators: SocketAddr, address: SocketAddr) -> bool {
     let object = request(operators, "GET", "/v1/objects/target/board-0");
     let slots = number_after(&object, r#""slots":"#).unwrap() + 1;
     let version = number_after(&object, r#""version":"#).unwrap();
@@ -94,21 +94,24 @@
         r#"{{"service": "boards", "zone": "zone-a", "address": "{address}", "slots": {slots},
             "connections": 65000}}"#
     );
-    let answer = put(operators, &format!("/v1/objects/target/board-0?version={version}"), &spec);
-    assert!(answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 409"), "{answer}");
-    answer.starts_with("HTTP/1.1 200")
+    let response = put(operators, &format!("/v1/objects/target/board-0?version={version}"), &spec);
+    assert!(
+        response.starts_with("HTTP/1.1 200") || response.starts_with("HTTP/1.1 409"),
+        "{response}"
+    );
+    response.starts_with("HTTP/1.1 200")
 }
 
-/// Operators and their automation race: no accepted change is lost or reverted.
+/// Guards against lost updates when several writers change one object.
 #[test]
 fn racing_writers_lose_no_accepted_change() {
     let fleet =
         Fleet::start(FleetSpec { label: "racing", targets_per_zone: 1, ..FleetSpec::default() });
     let address = fleet.targets[0].address;
-    let raise_slots = |operators: SocketAddr| {
+    let add_slots = |operators: SocketAddr| {
         let mut conflicts = 0;
         for _ in 0..20 {
-            while !raise_once(operators, address) {
+            while !try_add_slot(operators, address) {
                 conflicts += 1;
             }
         }
@@ -118,11 +121,11 @@
     let conflicts: u32 = std::thread::scope(|scope| {
         let writers: Vec<_> = operators
             .into_iter()
-            .map(|operators| scope.spawn(move || raise_slots(operators)))
+            .map(|operators| scope.spawn(move || add_slots(operators)))
             .collect();
         writers.into_iter().map(|writer| writer.join().unwrap()).sum()
     });
     let object = request(fleet.vms[0].operators, "GET", "/v1/objects/target/board-0");
     assert_eq!(number_after(&object, r#""slots":"#), Some(4 + 60));
-    assert!(conflicts > 0, "the writers never met");
+    assert!(conflicts > 0, "no write conflicted with another");
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, each part its own process, as the README puts it together.
+//! End-to-end path of a request with platform, VM and target as processes.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -6,7 +6,7 @@
 use common::{Process, free_address, request, run, write_file};
 use std::net::SocketAddr;
 
-/// One VM, one target and a platform.
+/// Platform, one VM and one target.
 struct Deployment {
     platform: Process,
     vm: Process,
@@ -53,21 +53,21 @@
         let apply = ["apply", "--vm", &operators_text, "-f", declared.to_str().unwrap()];
         let (code, _, errors) = run(&apply);
         assert_eq!(code, Some(0), "{errors}");
-        let (code, again, _) = run(&apply);
+        let (code, reapplied, _) = run(&apply);
         assert_eq!(code, Some(0));
-        assert_eq!(again, "service/boards unchanged\ntarget/board-0 unchanged\n");
+        assert_eq!(reapplied, "service/boards unchanged\ntarget/board-0 unchanged\n");
         vm.wait_for(&["owners-committed", "service=boards", "shards=8"]);
         Self { platform, vm, target, callers, operators }
     }
 }
 
 #[test]
-fn a_request_reaches_the_owning_target_and_comes_back() {
+fn a_request_reaches_the_owner_and_is_answered() {
     let deployment = Deployment::start();
-    let answer = request(deployment.callers, "POST", "/boards/book/clinic-7");
-    assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
-    assert!(answer.contains(r#""path":"/boards/book/clinic-7""#), "{answer}");
-    assert!(!answer.contains("nickellead-"), "internal headers reach a caller: {answer}");
+    let response = request(deployment.callers, "POST", "/boards/book/clinic-7");
+    assert!(response.starts_with("HTTP/1.1 200 OK"), "{response}");
+    assert!(response.contains(r#""path":"/boards/book/clinic-7""#), "{response}");
+    assert!(!response.contains("nickellead-"), "internal headers reach a caller: {response}");
 
     let unknown = request(deployment.callers, "POST", "/nothing/book/clinic-7");
     assert!(unknown.starts_with("HTTP/1.1 404"), "{unknown}");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn wrong_settings_name_the_field_and_start_nothing() {
+fn invalid_settings_are_rejected_with_the_field_name() {
     let path = write_file("wrong.json", r#"{"vm": "vm-0", "zone": "zone-a", "colour": 3}"#);
     let (code, _, errors) = run(&["run", "--settings", path.to_str().unwrap()]);
     assert_eq!(code, Some(2));
