--- a/benches/capacity/configs.rs
+++ b/benches/capacity/configs.rs
@@ -1,4 +1,4 @@
-//! Declarations of `nickellead run`: what a VM tells its followers when one target changes.
+//! Declarations of `nickellead run`: size and cost of an update when one target changes.
 
 use std::sync::Arc;
 
@@ -6,33 +6,33 @@
 use nickellead_core::Version;
 use nickellead_peer::{ConfigChange, ConfigHistory, ConfigUpdate, config_state, encode};
 
-use crate::news::PointSink;
 use crate::routes::config;
+use crate::updates::PointSink;
 use crate::{Point, allocated_bytes};
 
-/// Targets declared.
-const TARGETS: [u32; 3] = [250, 2_000, 8_000];
+/// Numbers of declared targets.
+const TARGET_COUNTS: [u32; 3] = [250, 2_000, 8_000];
 
 pub fn measure(points: &mut Vec<Point>) {
-    for targets in TARGETS {
+    for targets in TARGET_COUNTS {
         let mut sink = PointSink { points, size_of: "targets", size: u64::from(targets) };
         measure_config(targets, &mut sink);
     }
 }
 
-/// Targets in order of their names, as the platform's client gives them.
-fn ordered(targets: u32) -> DeclaredConfig {
+/// Returns declarations with targets sorted by name, as the platform's client returns them.
+fn sorted_config(targets: u32) -> DeclaredConfig {
     let mut config = config(1_024, targets);
     config.targets.sort_by(|one, other| one.name.cmp(&other.name));
     config
 }
 
 fn measure_config(targets: u32, sink: &mut PointSink) {
-    let old = ordered(targets);
+    let old = sorted_config(targets);
     let before = allocated_bytes();
     let mut new = old.clone();
     let memory = allocated_bytes().saturating_sub(before);
-    sink.put("config-copy-memory", "bytes", memory as f64);
+    sink.add("config-copy-memory", "bytes", memory as f64);
     new.revision = Version(2);
     let target = &mut new.targets[targets as usize / 2];
     target.version = Version(2);
@@ -43,8 +43,8 @@
     let mut history = ConfigHistory::default();
     history.apply_whole(Arc::new(old.clone()));
     history.apply_whole(Arc::new(new));
-    let bytes_of = |news: ConfigUpdate| encode(&news).unwrap().len() as f64;
+    let encoded_bytes = |update: ConfigUpdate| encode(&update).unwrap().len() as f64;
     let change = history.since(Some(config_state(&old))).unwrap();
-    sink.put("config-change", "bytes", bytes_of(change));
-    sink.put("config-whole", "bytes", bytes_of(history.since(None).unwrap()));
+    sink.add("config-change", "bytes", encoded_bytes(change));
+    sink.add("config-whole", "bytes", encoded_bytes(history.since(None).unwrap()));
 }
--- a/benches/capacity/driver.rs
+++ b/benches/capacity/driver.rs
@@ -1,4 +1,4 @@
-//! One coordinator with targets that answer at once and a platform that works.
+//! Drives one coordinator with simulated targets and a simulated platform that respond at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,16 +12,17 @@
 
 use crate::routes::config;
 
-/// A zone whose coordinator's own processor time is measured.
+/// Coordinator of one zone, with measurements of its processor time and messages.
 pub struct ZoneDriver {
     pub coordinator: ZoneCoordinator,
     pub now: Timestamp,
-    /// Time spent in the coordinator's code.
-    pub busy: Duration,
-    /// Answers of targets taken in.
+    /// Time spent in [`ZoneCoordinator::handle`].
+    pub cpu_time: Duration,
+    /// Number of replies from targets.
     pub replies: u64,
-    /// Bytes of the largest placement written, and of orders sent.
-    pub placement_bytes: usize,
+    /// Size of the largest written placement object.
+    pub max_placement_bytes: usize,
+    /// Total size of the sent orders.
     pub order_bytes: usize,
     pub orders: u64,
     pub writes: u64,
@@ -50,9 +51,9 @@
         let mut driver = Self {
             coordinator: ZoneCoordinator::new(settings, Timestamp(1_000)),
             now: Timestamp(1_000),
-            busy: Duration::ZERO,
+            cpu_time: Duration::ZERO,
             replies: 0,
-            placement_bytes: 0,
+            max_placement_bytes: 0,
             order_bytes: 0,
             orders: 0,
             writes: 0,
@@ -61,37 +62,37 @@
             version: Version::ZERO,
             lost: None,
         };
-        driver.give(ZoneEvent::ConfigChanged(Arc::new(config)));
-        driver.give(ZoneEvent::VmsListed(vec![Name::new("vm-0").unwrap()]));
+        driver.handle_event(ZoneEvent::ConfigChanged(Arc::new(config)));
+        driver.handle_event(ZoneEvent::VmsListed(vec![Name::new("vm-0").unwrap()]));
         driver
     }
 
-    /// Lets time pass, with a tick every 10 ms as in the process.
+    /// Advances the time, with a tick every 10 ms like the process.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = Timestamp(self.now.0 + 10);
-            self.give(ZoneEvent::Tick);
+            self.handle_event(ZoneEvent::Tick);
         }
     }
 
-    /// Any target.
-    pub fn some_target(&self) -> TargetKey {
+    /// Returns the target with the lowest key.
+    pub fn first_target(&self) -> TargetKey {
         *self.guards.keys().next().unwrap()
     }
 
-    fn give(&mut self, event: ZoneEvent) {
+    fn handle_event(&mut self, event: ZoneEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let start = Instant::now();
             let actions = self.coordinator.handle(event, self.now);
-            self.busy += start.elapsed();
-            events.extend(actions.into_iter().filter_map(|action| self.act(action)));
+            self.cpu_time += start.elapsed();
+            events.extend(actions.into_iter().filter_map(|action| self.perform(action)));
         }
     }
 
-    fn act(&mut self, action: ZoneAction) -> Option<ZoneEvent> {
+    fn perform(&mut self, action: ZoneAction) -> Option<ZoneEvent> {
         match action {
-            ZoneAction::SendOrder(order) => Some(self.send(&order)),
+            ZoneAction::SendOrder(order) => Some(self.send_order(&order)),
             ZoneAction::ReadMandate(call) => {
                 Some(ZoneEvent::MandateRead(call, ReadOutcome::Absent))
             }
@@ -100,26 +101,26 @@
                 Some(ZoneEvent::MandateWritten(call, WriteOutcome::Done(self.version)))
             }
             ZoneAction::ReadPlacement(call, service, name) => {
-                let answer = match self.placements.get(&name) {
+                let outcome = match self.placements.get(&name) {
                     Some((object, version)) => ReadOutcome::Found(object.clone(), *version),
                     None => ReadOutcome::Absent,
                 };
-                Some(ZoneEvent::PlacementRead(call, service, answer))
+                Some(ZoneEvent::PlacementRead(call, service, outcome))
             }
             ZoneAction::WritePlacement(call, service, name, _, object) => {
                 let bytes = serde_json::to_vec(&object).unwrap().len();
-                self.placement_bytes = self.placement_bytes.max(bytes);
+                self.max_placement_bytes = self.max_placement_bytes.max(bytes);
                 self.writes += 1;
                 self.version = self.version.next();
                 self.placements.insert(name, (object, self.version));
-                let answer = WriteOutcome::Done(self.version);
-                Some(ZoneEvent::PlacementWritten(call, service, answer))
+                let outcome = WriteOutcome::Done(self.version);
+                Some(ZoneEvent::PlacementWritten(call, service, outcome))
             }
             _ => None,
         }
     }
 
-    fn send(&mut self, order: &TargetOrder) -> ZoneEvent {
+    fn send_order(&mut self, order: &TargetOrder) -> ZoneEvent {
         self.orders += 1;
         self.order_bytes += serde_json::to_vec(order).unwrap().len();
         let guard = self.guards.get_mut(&order.target);
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,9 +1,8 @@
-//! Slopes of state, messages, processor time and memory, for docs/CAPACITY.md.
+//! Growth of state, messages, processor time and memory with size, for docs/CAPACITY.md.
 //!
-//! `cargo bench --bench capacity` rewrites `bench/results/capacity.json`; with the
-//! names of parts (routes, news, configs, zones, fleets) it measures these and replaces their
-//! points there. Each slope has at least three sizes. Times are of this machine; they
-//! are printed, not judged.
+//! `cargo bench --bench capacity` rewrites `bench/results/capacity.json`. With the names of groups
+//! (routes, news, configs, zones, fleets) it measures only these and replaces their points. Each
+//! slope has at least three sizes. Results are printed without checking them.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 #[path = "../../tests/common/mod.rs"]
@@ -13,8 +12,8 @@
 mod fleets;
 #[path = "../../crates/nickellead_gateway/tests/common/many_routes.rs"]
 mod many_routes;
-mod news;
 mod routes;
+mod updates;
 mod zones;
 
 use std::alloc::System;
@@ -26,21 +25,21 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Where the points are kept.
+/// File with the points, relative to the workspace root.
 const RESULTS: &str = "bench/results/capacity.json";
 
-/// One measured point of a slope.
+/// One measurement of a quantity at one size.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Point {
-    /// What was measured.
+    /// Name of the quantity.
     pub slope: Cow<'static, str>,
-    /// What the size counts.
+    /// Unit of the size.
     pub size_of: Cow<'static, str>,
-    /// The size.
+    /// Size at which the quantity was measured.
     pub size: u64,
-    /// What the value counts.
+    /// Unit of the value.
     pub unit: Cow<'static, str>,
-    /// The value.
+    /// Measured value.
     pub value: f64,
 }
 
@@ -57,46 +56,46 @@
     }
 }
 
-/// One part of the measurement.
-type Measure = fn(&mut Vec<Point>);
+/// Measures one group of slopes.
+type MeasureFn = fn(&mut Vec<Point>);
 
 fn main() {
     let mut points = Vec::new();
-    let wanted: Vec<String> =
-        std::env::args().skip(1).filter(|word| !word.starts_with('-')).collect();
-    let parts: [(&str, Measure); 5] = [
+    let selected: Vec<String> =
+        std::env::args().skip(1).filter(|argument| !argument.starts_with('-')).collect();
+    let groups: [(&str, MeasureFn); 5] = [
         ("routes", routes::measure),
-        ("news", news::measure),
+        ("news", updates::measure),
         ("configs", configs::measure),
         ("zones", zones::measure),
         ("fleets", fleets::measure),
     ];
-    for (name, measure) in parts {
-        if wanted.is_empty() || wanted.iter().any(|word| word == name) {
+    for (name, measure) in groups {
+        if selected.is_empty() || selected.iter().any(|argument| argument == name) {
             measure(&mut points);
         }
     }
-    let mut kept = if wanted.is_empty() { Vec::new() } else { other_points(&points) };
-    kept.append(&mut points);
-    let text = serde_json::to_string_pretty(&kept).unwrap();
+    let mut stored = if selected.is_empty() { Vec::new() } else { stored_points(&points) };
+    stored.append(&mut points);
+    let text = serde_json::to_string_pretty(&stored).unwrap();
     std::fs::write(RESULTS, text + "\n").unwrap();
 }
 
-/// The points of earlier runs whose slopes were not measured now.
-fn other_points(measured: &[Point]) -> Vec<Point> {
+/// Reads the stored points of slopes that this run has not measured.
+fn stored_points(measured: &[Point]) -> Vec<Point> {
     let text = std::fs::read_to_string(RESULTS).unwrap();
     let mut points: Vec<Point> = serde_json::from_str(&text).unwrap();
     points.retain(|point| measured.iter().all(|new| point.slope != new.slope));
     points
 }
 
-/// Bytes that this process has allocated and not given back.
+/// Returns the number of heap bytes that this process has allocated and not freed.
 pub fn allocated_bytes() -> u64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated.saturating_sub(stats.bytes_deallocated) as u64
 }
 
-/// Resident memory of a process in bytes.
+/// Returns the resident memory of a process in bytes.
 pub fn resident_bytes(process: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/benches/capacity/routes.rs
+++ b/benches/capacity/routes.rs
@@ -1,4 +1,4 @@
-//! The request worker's table: decision time, memory, and bytes of a whole table.
+//! Routing table of a request worker: decision time, memory and message size.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -11,15 +11,15 @@
 
 use crate::{Point, allocated_bytes};
 
-/// Shards of a table.
-const SIZES: [u32; 3] = [8_192, 32_768, 131_072];
-/// Targets of a table.
-const TARGETS: u32 = 2_000;
-/// Decisions of one measurement.
-const DECISIONS: u32 = 2_000_000;
+/// Numbers of shards of a table.
+const SHARD_COUNTS: [u32; 3] = [8_192, 32_768, 131_072];
+/// Number of targets of a table.
+const TARGET_COUNT: u32 = 2_000;
+/// Number of decisions per measurement.
+const DECISION_COUNT: u32 = 2_000_000;
 
 pub fn measure(points: &mut Vec<Point>) {
-    for shards in SIZES {
+    for shards in SHARD_COUNTS {
         measure_table(shards, points);
         measure_messages(shards, points);
     }
@@ -56,13 +56,14 @@
 
 fn changes(shards: u32) -> Vec<RouteChange> {
     let service = ServiceKey::from(&name("boards"));
-    let keys: Vec<TargetKey> =
-        (0..TARGETS).map(|number| TargetKey::from(&name(&format!("board-{number}")))).collect();
+    let keys: Vec<TargetKey> = (0..TARGET_COUNT)
+        .map(|number| TargetKey::from(&name(&format!("board-{number}"))))
+        .collect();
     let change = |shard: u32| RouteChange {
         service,
         shard: ShardIndex(shard),
         owner: ShardOwner::Target {
-            target: keys[(shard % TARGETS) as usize],
+            target: keys[(shard % TARGET_COUNT) as usize],
             epoch: Epoch(u64::from(shard % 50)),
         },
     };
@@ -73,22 +74,22 @@
     let changes = changes(shards);
     let before = allocated_bytes();
     let mut table = RoutingTable::default();
-    table.apply_config(&config(shards, TARGETS));
+    table.apply_config(&config(shards, TARGET_COUNT));
     let start = Instant::now();
     changes.iter().for_each(|change| table.apply_change(*change));
-    let apply = start.elapsed().as_nanos() as f64 / f64::from(shards);
+    let apply_ns = start.elapsed().as_nanos() as f64 / f64::from(shards);
     let memory = allocated_bytes().saturating_sub(before);
     let keys: Vec<String> = (0..4_096).map(|number| format!("clinic-{number}")).collect();
     let start = Instant::now();
-    for round in 0..DECISIONS {
+    for round in 0..DECISION_COUNT {
         let key = &keys[(round % 4_096) as usize];
         let (_, service) = table.service("boards").unwrap();
         black_box(service.decide(black_box(key.as_bytes())));
     }
-    let decide = start.elapsed().as_nanos() as f64 / f64::from(DECISIONS);
+    let decide_ns = start.elapsed().as_nanos() as f64 / f64::from(DECISION_COUNT);
     let size = u64::from(shards);
-    points.push(Point::new("route-decision", "shards", size, "ns", decide));
-    points.push(Point::new("route-apply-change", "shards", size, "ns", apply));
+    points.push(Point::new("route-decision", "shards", size, "ns", decide_ns));
+    points.push(Point::new("route-apply-change", "shards", size, "ns", apply_ns));
     points.push(Point::new("route-table-memory", "shards", size, "bytes", memory as f64));
 }
 
@@ -115,9 +116,9 @@
             }],
         }))
     };
-    let whole = encode(&reply(None, changes(shards))).unwrap();
-    let one = encode(&reply(Some(Version(999)), changes(1))).unwrap();
+    let full_table = encode(&reply(None, changes(shards))).unwrap();
+    let one_change = encode(&reply(Some(Version(999)), changes(1))).unwrap();
     let size = u64::from(shards);
-    points.push(Point::new("follow-whole-table", "shards", size, "bytes", whole.len() as f64));
-    points.push(Point::new("follow-one-change", "shards", size, "bytes", one.len() as f64));
+    points.push(Point::new("follow-whole-table", "shards", size, "bytes", full_table.len() as f64));
+    points.push(Point::new("follow-one-change", "shards", size, "bytes", one_change.len() as f64));
 }
--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -1,7 +1,7 @@
-//! Times and counts of failures on real sockets, with processes.
+//! Recovery times and failure counts of processes on real sockets.
 //!
-//! `cargo bench --bench failover [-- scenario...]`; figures are printed, not judged.
-//! `FAILOVER_LOSSES` sets how many targets are lost (the default is 100).
+//! `cargo bench --bench failover [-- scenario...]` prints results without checking them.
+//! `FAILOVER_LOSSES` sets the number of targets to kill (default 100).
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 #[path = "../tests/common/mod.rs"]
@@ -12,43 +12,43 @@
 use common::fleet::{Fleet, FleetSpec, number_after};
 use common::request;
 
-/// Fleets that lose targets side by side.
-const FLEETS: [&str; 4] = ["lose-a", "lose-b", "lose-c", "lose-d"];
+/// Labels of the fleets that lose targets concurrently.
+const FLEET_LABELS: [&str; 4] = ["lose-a", "lose-b", "lose-c", "lose-d"];
 
 fn main() {
-    let words = std::env::args().skip(1);
-    let wanted: Vec<String> = words.filter(|word| !word.starts_with('-')).collect();
+    let arguments = std::env::args().skip(1);
+    let wanted: Vec<String> = arguments.filter(|argument| !argument.starts_with('-')).collect();
     let scenarios: [(&str, fn()); 6] = [
-        ("target", lose_targets),
-        ("coordinator", lose_coordinators),
-        ("both", lose_both),
-        ("drain", drain_targets),
-        ("outage", lose_platform),
-        ("config", change_config),
+        ("target", measure_target_losses),
+        ("coordinator", measure_coordinator_losses),
+        ("both", measure_coordinator_and_target_losses),
+        ("drain", measure_drains),
+        ("outage", measure_platform_outage),
+        ("config", measure_config_changes),
     ];
     for (name, scenario) in scenarios {
-        if wanted.is_empty() || wanted.iter().any(|word| word == name) {
+        if wanted.is_empty() || wanted.iter().any(|argument| argument == name) {
             scenario();
         }
     }
 }
 
-fn print_times(scenario: &str, mut millis: Vec<u64>, extra: &str) {
-    millis.sort_unstable();
-    let at = |percent: usize| millis[(millis.len() * percent).div_ceil(100).max(1) - 1];
-    let (count, p50, p99, max) = (millis.len(), at(50), at(99), at(100));
+fn print_times(scenario: &str, mut times_ms: Vec<u64>, extra: &str) {
+    times_ms.sort_unstable();
+    let at = |percent: usize| times_ms[(times_ms.len() * percent).div_ceil(100).max(1) - 1];
+    let (count, p50, p99, max) = (times_ms.len(), at(50), at(99), at(100));
     println!("scenario={scenario} count={count} p50_ms={p50} p99_ms={p99} max_ms={max} {extra}");
 }
 
-/// Time from now until a key is answered again.
+/// Returns the milliseconds until a key is served again.
 fn time_until_served(fleet: &Fleet, vm: usize, key: &str) -> u64 {
     let start = Instant::now();
     loop {
-        let answer = request(fleet.vms[vm].callers, "GET", &format!("/boards/look/{key}"));
-        if answer.starts_with("HTTP/1.1 200") {
+        let response = request(fleet.vms[vm].callers, "GET", &format!("/boards/look/{key}"));
+        if response.starts_with("HTTP/1.1 200") {
             return start.elapsed().as_millis() as u64;
         }
-        assert!(start.elapsed() < Duration::from_secs(30), "never served again: {answer}");
+        assert!(start.elapsed() < Duration::from_secs(30), "not served again in 30 s: {response}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -57,21 +57,23 @@
     Fleet::start(FleetSpec { label, ..FleetSpec::default() })
 }
 
-fn lose_targets() {
+fn measure_target_losses() {
     let losses = std::env::var("FAILOVER_LOSSES").ok().and_then(|text| text.parse().ok());
-    let each = losses.unwrap_or(100_usize).div_ceil(FLEETS.len());
+    let losses_per_fleet = losses.unwrap_or(100_usize).div_ceil(FLEET_LABELS.len());
     let run = |label: &'static str| {
         std::thread::spawn(move || {
             let mut fleet = fleet(label);
-            (0..each).map(|round| lose_target(&mut fleet, round % 3)).collect::<Vec<u64>>()
+            (0..losses_per_fleet)
+                .map(|round| measure_target_loss(&mut fleet, round % 3))
+                .collect::<Vec<u64>>()
         })
     };
-    let threads: Vec<_> = FLEETS.into_iter().map(run).collect();
+    let threads: Vec<_> = FLEET_LABELS.into_iter().map(run).collect();
     let times: Vec<Vec<u64>> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
     print_times("target-lost", times.concat(), "");
 }
 
-fn lose_target(fleet: &mut Fleet, target: usize) -> u64 {
+fn measure_target_loss(fleet: &mut Fleet, target: usize) -> u64 {
     let key = fleet.find_key_of(target);
     fleet.kill_target(target);
     let time = time_until_served(fleet, 0, &key);
@@ -80,7 +82,7 @@
     time
 }
 
-fn lose_coordinators() {
+fn measure_coordinator_losses() {
     let mut fleet = fleet("lose-coordinator");
     let (mut answered, mut failed) = (0, 0);
     let rounds = 10;
@@ -103,7 +105,7 @@
     );
 }
 
-fn lose_both() {
+fn measure_coordinator_and_target_losses() {
     let mut fleet = fleet("lose-both");
     let mut times = Vec::new();
     for round in 0..6 {
@@ -114,7 +116,7 @@
         fleet.kill_target(target);
         fleet.kill_vm(leader);
         let start = Instant::now();
-        // The platform's list shows the VM gone one second later.
+        // The platform removes the VM from its list one second later.
         std::thread::sleep(Duration::from_secs(1));
         fleet.set_vm_list(&fleet.vm_list_without(leader));
         time_until_served(&fleet, other, &key);
@@ -127,7 +129,7 @@
     print_times("coordinator-and-target-lost", times, "vm_gone_from_list_after_ms=1000");
 }
 
-fn drain_targets() {
+fn measure_drains() {
     let fleet = fleet("drain");
     let mut latencies = Vec::new();
     let (mut answered, mut failed) = (0, 0);
@@ -142,7 +144,7 @@
         fleet.declare_target(round % 3, "active");
         fleet.wait_for_zone(0);
     }
-    let worst = |place: usize| latencies.iter().map(|latency| latency[place]).max().unwrap_or(0);
+    let worst = |index: usize| latencies.iter().map(|latency| latency[index]).max().unwrap_or(0);
     println!(
         "scenario=drain count={} answered={answered} refused_or_unknown={failed} \
          request_p99_us={} request_max_us={}",
@@ -152,7 +154,7 @@
     );
 }
 
-fn lose_platform() {
+fn measure_platform_outage() {
     let fleet = fleet("outage");
     let load = fleet.load(15, &[0, 1, 2]);
     fleet.set_platform_faults(r#"{"down": true}"#);
@@ -163,7 +165,7 @@
     println!("scenario=platform-outage seconds=15 answered={answered} refused_or_unknown={failed}");
 }
 
-fn change_config() {
+fn measure_config_changes() {
     let fleet = Fleet::start(FleetSpec { label: "config", zones: 3, ..FleetSpec::default() });
     let times = (0..50).map(|round| {
         let state = if round % 2 == 0 { "draining" } else { "active" };
--- a/benches/gateway_speed.rs
+++ b/benches/gateway_speed.rs
@@ -1,12 +1,12 @@
-//! The gateway's request path against a bare pass-through proxy.
+//! Compares the gateway's request path with a bare pass-through proxy.
 //!
-//! `cargo bench --bench gateway_speed` prints requests a second of each, and the median and 99th
-//! percentile of each at half of the slowest one's load; it rewrites
-//! `bench/results/gateway_speed.json`. The gateway runs over a store in memory, with few and with many
-//! routes; requests go to a plain service and to one whose keys have a settled owner. All paths get
-//! the same headers and reach the same target stand-in. Each path answers on one thread; the gateway's
-//! control duty has another. Both listen with the same library; the bare proxy asks the target with
-//! `awc`, the gateway with `hyper`.
+//! `cargo bench --bench gateway_speed` prints the throughput of each path at full load, and the median
+//! and 99th percentile latency at half the rate of the slowest path; it rewrites
+//! `bench/results/gateway_speed.json`. The gateway uses an in-memory store, with few and with many
+//! routes; requests go to a plain service and to a sharded one whose keys have a settled owner. All
+//! paths get the same headers and reach the same target stand-in. Each path serves on one thread; the
+//! gateway's control loop has another. Both use the same HTTP server library; the bare proxy uses the
+//! client of `awc`, the gateway that of `hyper`.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 #[path = "../crates/nickellead_gateway/tests/common/mod.rs"]
@@ -24,25 +24,26 @@
 use nickellead_range::RangeMap;
 use serde::Serialize;
 
-/// Where the figures are kept.
+/// File with the results, relative to the workspace root.
 const RESULTS: &str = "bench/results/gateway_speed.json";
-/// Routes of a small and of a large installation.
-const ROUTES: [usize; 2] = [5, 4_300];
-/// Slots of the target stand-in: more than senders have connections, so that none waits for a turn.
-const SLOTS: u32 = 64;
-/// Every how many of the routes that are never asked for has the host that requests name.
-const SHARED_HOST: usize = 2;
-/// Host that requests name.
+/// Numbers of routes of a small and a large deployment.
+const ROUTE_COUNTS: [usize; 2] = [5, 4_300];
+/// Slots of the target stand-in: more than the senders' connections, so that no request is queued.
+const TARGET_SLOTS: u32 = 64;
+/// One of this many unused routes has the host of the requests.
+const UNUSED_ROUTES_PER_SHARED_HOST: usize = 2;
+/// Host header of the requests.
 const HOST: &str = "board.example";
-/// Keys between two that are asked for one after the other: they spread over the whole key space.
+/// Step between consecutive keys, which spreads the keys over the whole key space.
 const KEY_STEP: u32 = 16;
 
-/// What was measured of one path.
+/// Results of one path at one load.
 #[derive(Serialize)]
-struct SpeedFigure {
+struct SpeedResult {
     path: &'static str,
     load: &'static str,
-    requests_a_second: f64,
+    #[serde(rename = "requests_a_second")]
+    requests_per_second: f64,
     to_bare_rate: f64,
     p50_us: u64,
     p99_us: u64,
@@ -50,12 +51,12 @@
     minus_bare_p99_us: i64,
 }
 
-impl SpeedFigure {
+impl SpeedResult {
     fn new(path: &'static str, load: &'static str, round: LoadRound, bare: LoadRound) -> Self {
         Self {
             path,
             load,
-            requests_a_second: round.rate,
+            requests_per_second: round.rate,
             to_bare_rate: round.rate / bare.rate,
             p50_us: round.p50,
             p99_us: round.p99,
@@ -66,10 +67,10 @@
 }
 
 fn main() {
-    let marks = &[(NAMES.target_proof, "p")];
-    let target = start(move || target_standin(NAMES.request_id, marks));
+    let response_headers = &[(NAMES.target_proof, "p")];
+    let target = start(move || target_standin(NAMES.request_id, response_headers));
     let bare = start(move || bare_proxy(target));
-    let [few, many] = ROUTES.map(|routes| start_ready(routes, target));
+    let [few, many] = ROUTE_COUNTS.map(|routes| start_ready(routes, target));
     let paths = [
         path("bare", bare, "/read/clinic-"),
         path("plain-5", few.callers, "/read/clinic-"),
@@ -79,31 +80,31 @@
     ];
     let full = measure(&paths, None);
     let paced = measure(&paths, Some(half_of_slowest(&full)));
-    let mut figures = Vec::new();
+    let mut results = Vec::new();
     for (load, rounds) in [("full", &full), ("half", &paced)] {
         for (path, round) in paths.iter().zip(rounds) {
             round.print(path.name, load);
-            figures.push(SpeedFigure::new(path.name, load, *round, rounds[0]));
+            results.push(SpeedResult::new(path.name, load, *round, rounds[0]));
         }
     }
-    print_against_bare(&figures);
+    print_against_bare(&results);
     println!(
         "plain_4300_to_5_rate={:.3} keyed_4300_to_5_rate={:.3}",
         full[2].rate / full[1].rate,
         full[4].rate / full[3].rate
     );
-    let text = serde_json::to_string_pretty(&figures).unwrap();
+    let text = serde_json::to_string_pretty(&results).unwrap();
     std::fs::write(RESULTS, text + "\n").unwrap();
 }
 
-/// Prints rates at full load and times at half load beside those of the bare proxy.
-fn print_against_bare(figures: &[SpeedFigure]) {
-    for figure in figures.iter().filter(|figure| figure.path != "bare") {
-        match figure.load {
-            "full" => println!("{}_to_bare_rate={:.3}", figure.path, figure.to_bare_rate),
+/// Prints the rates at full load and the latencies at half load relative to the bare proxy.
+fn print_against_bare(results: &[SpeedResult]) {
+    for result in results.iter().filter(|result| result.path != "bare") {
+        match result.load {
+            "full" => println!("{}_to_bare_rate={:.3}", result.path, result.to_bare_rate),
             _ => println!(
                 "{}_minus_bare_p50_us={} {}_minus_bare_p99_us={}",
-                figure.path, figure.minus_bare_p50_us, figure.path, figure.minus_bare_p99_us
+                result.path, result.minus_bare_p50_us, result.path, result.minus_bare_p99_us
             ),
         }
     }
@@ -113,7 +114,7 @@
     LoadPath { name, address, prefix, headers: caller_headers }
 }
 
-/// What every caller of the gateway sends, with a key whether its service is divided or not.
+/// Returns the headers of a request; the key is sent for plain and sharded services alike.
 fn caller_headers(key: u32) -> Vec<(&'static str, String)> {
     vec![
         ("host", HOST.to_owned()),
@@ -123,13 +124,13 @@
     ]
 }
 
-/// A gateway that knows its routes, its targets and the owner of every key.
+/// Starts a gateway and waits until every key has an owner and requests are answered.
 fn start_ready(routes: usize, target: SocketAddr) -> TestGateway {
     let store = MemoryStore::default();
     for (id, service) in [("plain-0", "plain"), ("keyed-0", "keyed")] {
-        let mut listed = entry(id, service, target);
-        listed.slots = SLOTS;
-        store.list(listed);
+        let mut target_entry = entry(id, service, target);
+        target_entry.slots = TARGET_SLOTS;
+        store.list(target_entry);
     }
     let declared = declare(routes);
     assert_eq!(declared.routes.len(), routes);
@@ -149,15 +150,15 @@
     map.services.get("keyed").is_some_and(|ranges| ranges.iter().all(|range| range.settled))
 }
 
-/// The routes that are asked for, and others up to a count: on their own hosts, and on the same one.
+/// Declares the requested routes, and unused ones up to `count`.
 fn declare(count: usize) -> Declarations {
     let mut declared = declarations(1);
-    let others = many_routes::random_declarations(1, count - declared.routes.len()).routes;
-    for (place, mut other) in others.into_iter().enumerate() {
-        if place % SHARED_HOST == 0 {
-            other.host = HOST.to_owned();
+    let unused_routes = many_routes::random_declarations(1, count - declared.routes.len()).routes;
+    for (index, mut unused_route) in unused_routes.into_iter().enumerate() {
+        if index % UNUSED_ROUTES_PER_SHARED_HOST == 0 {
+            unused_route.host = HOST.to_owned();
         }
-        declared.routes.push(other);
+        declared.routes.push(unused_route);
     }
     declared
 }
--- a/benches/speed.rs
+++ b/benches/speed.rs
@@ -1,8 +1,7 @@
-//! A request worker against a bare pass-through proxy of the same libraries.
+//! Compares a request worker with a bare pass-through proxy built on the same libraries.
 //!
-//! `cargo bench --bench speed` prints requests a second of both, one core each,
-//! and the median and 99th percentile of both at half of the slower one's load. Rounds of
-//! the two alternate; the best round of each counts.
+//! `cargo bench --bench speed` prints the throughput of both at full load, one core each, and
+//! the median and 99th percentile latency of both at half the rate of the slower one.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 mod load;
@@ -12,14 +11,14 @@
 use std::sync::Arc;
 
 use actix_http::Request;
-use load::{BoxedAnswer, LoadPath, bare_proxy, half_of_slowest, measure, start, target_standin};
+use load::{LoadPath, ResponseFuture, bare_proxy, half_of_slowest, measure, start, target_standin};
 use nickellead_api::{DeclaredConfig, DeclaredService, DeclaredTarget};
 use nickellead_core::{Epoch, Name, ServiceKey, ShardIndex, TargetKey, Version};
 use nickellead_lease::{RouteChange, ShardOwner};
 use nickellead_proxy::{ProxyLimits, ProxyMetrics, ProxyWorker, REQUEST_ID_HEADER, WorkerUpdate};
 
-/// Shards of the service.
-const SHARDS: u32 = 131_072;
+/// Number of shards of the service.
+const SHARD_COUNT: u32 = 131_072;
 
 fn main() {
     let target = start(|| target_standin(REQUEST_ID_HEADER, &[]));
@@ -44,8 +43,8 @@
     );
 }
 
-/// The real worker, with 131,072 shards of one target.
-fn router(target: SocketAddr) -> impl Fn(Request) -> BoxedAnswer + Clone + 'static {
+/// Returns the handler of a request worker whose shards are all owned by one target.
+fn router(target: SocketAddr) -> impl Fn(Request) -> ResponseFuture + Clone + 'static {
     let limits =
         ProxyLimits { workers_per_target: 1, queue_per_target: 1_000, ..ProxyLimits::default() };
     let worker = ProxyWorker::new(limits, 1, ProxyMetrics::default());
@@ -53,7 +52,7 @@
     let service = ServiceKey::from(&name("boards"));
     let owner = ShardOwner::Target { target: TargetKey::from(&name("board-0")), epoch: Epoch(1) };
     let change = |shard| RouteChange { service, shard: ShardIndex(shard), owner };
-    worker.update(&WorkerUpdate::Routes((0..SHARDS).map(change).collect()));
+    worker.update(&WorkerUpdate::Routes((0..SHARD_COUNT).map(change).collect()));
     move |request| {
         let worker = Rc::clone(&worker);
         Box::pin(async move { worker.handle(request).await })
@@ -66,7 +65,7 @@
 
 fn declare(target: SocketAddr) -> DeclaredConfig {
     let service = format!(
-        r#"{{"zones": ["zone-a"], "shards": {SHARDS}, "key": {{"from": "path", "segment": 2}},
+        r#"{{"zones": ["zone-a"], "shards": {SHARD_COUNT}, "key": {{"from": "path", "segment": 2}},
             "operations": [{{"name": "look", "method": "GET", "repeat": "repeatable"}}]}}"#
     );
     let target = format!(
