--- a/crates/nickellead_peer/tests/slow_responses.rs
+++ b/crates/nickellead_peer/tests/slow_responses.rs
@@ -87,7 +87,7 @@
         let stuck = futures_util::future::join_all(stuck);
         let requesting = async {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            link.set(LinkFault::CutBack);
+            link.set(LinkFault::CutFromTarget);
             tokio::time::sleep(Duration::from_millis(5_500)).await;
             link.set(LinkFault::None);
             let mut client = SizeClient::new(link.address, PATH);
