--- a/crates/nickellead_standin/src/load.rs
+++ b/crates/nickellead_standin/src/load.rs
@@ -156,7 +156,7 @@
         .insert_header((OPERATION_HEADER, operation.to_string()));
     let mut response = match request.send().await {
         Ok(response) => response,
-        Err(error) => return CallerOutcome::Unknown(format!("no response: {error}")),
+        Err(error) => return CallerOutcome::Unknown(format!("no answer: {error}")),
     };
     let header = |name: &str| {
         let value = response.headers().get(name)?.to_str().ok()?;
@@ -172,7 +172,7 @@
     match response.json::<TargetResponse>().await {
         Ok(body) if body.path == path && body.operation == operation => CallerOutcome::Completed,
         Ok(_) => CallerOutcome::WrongResponse,
-        Err(error) => CallerOutcome::Unknown(format!("incomplete response: {error}")),
+        Err(error) => CallerOutcome::Unknown(format!("answer not whole: {error}")),
     }
 }
 
