--- a/examples/deployments/run.sh
+++ b/examples/deployments/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Puts a trade's deployment together out of processes on this machine, sends a
-# short load, and stops every process that it started.
+# Starts an example deployment as processes on this machine, sends a short load,
+# and stops all processes that it started.
 #
 # Usage: examples/deployments/run.sh (coop|auction) [seconds]
 set -eu
--- a/tools/make_deployment.py
+++ b/tools/make_deployment.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Writes the settings and declarations of a trade's example deployment.
+"""Generates the settings and declarations of an example deployment.
 
 Usage: tools/make_deployment.py (coop|auction) FOLDER [--base-port N]
 
-The folder gets one settings file a VM under vms/, the platform's list of VMs
-in vms.json, the declarations under declared/, and a list of the targets to
-start in targets.txt (name, address, slots, service time in microseconds).
+Writes one settings file per VM to vms/, the platform's list of VMs to vms.json,
+the declarations to declared/, and the targets to start to targets.txt (name,
+address, slots, service time in microseconds).
 """
 import argparse
 import json
--- a/tools/owed_runs.py
+++ b/tools/owed_runs.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Plays the runs that are owed before a landing, one site at a time, and sums them up in a table.
+"""Runs the simulations required before a merge, one site at a time, and summarizes them in a table.
 
 Usage: tools/owed_runs.py BENCH SYSTEM --why TEXT [--only NAME ...] [--out FOLDER]
        tools/owed_runs.py --table FOLDER
 
-BENCH is the users' bench, SYSTEM the folder that holds the folders of their site files. Each site is
-scored and hunted by itself: days of sites with hundreds of VMs one at a time, of others two or three. The
-output of each run is kept in FOLDER, from which --table prints the table once more. docs/BENCH.md says
-which sites are owed and how long they take.
+BENCH is the program that simulates sites, SYSTEM the folder with the folders of site files. Each site gets a
+score run and a hunt run; the number of days simulated in parallel depends on the size of the site. The output
+of each run is written to FOLDER; --table prints the table from an existing folder. docs/BENCH.md describes the
+required sites.
 """
 import argparse
 import pathlib
@@ -15,7 +15,7 @@
 import subprocess
 import sys
 
-# Site file below SYSTEM, days to hunt, days played at a time.
+# Site file below SYSTEM, number of days to hunt, number of days simulated in parallel.
 OWED = [
     ("shifted/ngipin-sked-now-grown.toml", 16, 3),
     ("large/ngipin-sked-large.toml", 8, 1),
@@ -31,7 +31,7 @@
 
 
 def play(bench, site, arguments, out):
-    """Runs the bench and keeps what it prints."""
+    """Runs the simulator and writes its output to a file."""
     with out.open("w") as file:
         command = [bench, arguments[0], str(site), *arguments[1:]]
         done = subprocess.run(command, stdout=file, stderr=subprocess.STDOUT, check=False)
@@ -40,7 +40,7 @@
 
 
 def days(path):
-    """Worth by day of a run's output."""
+    """Parses the worth of each day from the output of a run."""
     if not path.exists():
         return {}
     found = (DAY_LINE.match(line) for line in path.read_text(errors="replace").splitlines())
@@ -48,14 +48,14 @@
 
 
 def search(path, pattern):
-    """The first group of a pattern in a run's output."""
+    """Returns the first group of a pattern in the output of a run."""
     text = path.read_text(errors="replace") if path.exists() else ""
     match = re.search(pattern, text)
     return match[1] if match else "not run"
 
 
 def row(folder, name):
-    """One line of the table."""
+    """Returns one line of the table."""
     score, hunt = folder / f"score-{name}.txt", folder / f"hunt-{name}.txt"
     worth = days(score)
     trouble = [worth[day] for day in TROUBLE_DAYS if day in worth]
@@ -69,7 +69,7 @@
 
 
 def print_table(folder):
-    """The table of all owed sites."""
+    """Prints the table of all required sites."""
     print("| site | gate | mean worth, days with trouble | quiet-1 | least hunted day | hunt |")
     print("|---|---|---|---|---|---|")
     for site, _, _ in OWED:
@@ -78,12 +78,12 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("bench", nargs="?", help="the users' bench")
-    parser.add_argument("system", nargs="?", type=pathlib.Path, help="folder of their site files")
-    parser.add_argument("--why", help="why these runs are made")
-    parser.add_argument("--only", nargs="*", help="names of sites, if not all")
+    parser.add_argument("bench", nargs="?", help="program that simulates sites")
+    parser.add_argument("system", nargs="?", type=pathlib.Path, help="folder with the folders of site files")
+    parser.add_argument("--why", help="reason of the runs, passed to the simulator")
+    parser.add_argument("--only", nargs="*", help="names of the sites to run (default: all)")
     parser.add_argument("--out", type=pathlib.Path, default=pathlib.Path("target/owed"))
-    parser.add_argument("--table", type=pathlib.Path, help="print the table of a folder and stop")
+    parser.add_argument("--table", type=pathlib.Path, help="print the table of an existing folder and exit")
     options = parser.parse_args()
     if options.table:
         return print_table(options.table)
