--- a/crates/nickellead_soak/src/fleet/faults.rs
+++ b/crates/nickellead_soak/src/fleet/faults.rs
@@ -93,9 +93,7 @@
         process.signal(Signal::CONT);
         match process.wait_exit(STOP_TIMEOUT) {
             Some(_) => Ok(()),
-            None => {
-                Err(SoakError::NotReached(format!("vm-{number} stopped within {STOP_TIMEOUT:?}")))
-            }
+            None => Err(SoakError::NotReached(format!("vm-{number} stopped in time"))),
         }
     }
 
