--- a/crates/nickellead_gateway/src/worker/selection.rs
+++ b/crates/nickellead_gateway/src/worker/selection.rs
@@ -14,7 +14,7 @@
 use crate::target_registry::RegisteredTarget;
 use crate::waiting::wait_for;
 
-/// Longest time that a range has no owner during a incoming move. A range that has none for longer
+/// Longest time that a range has no owner during a planned move. A range that has none for longer
 /// waits for the lease of a lost target to expire, which takes seconds, so requests for it are
 /// refused at once.
 const MAX_PLANNED_MOVE_DURATION: Duration = Duration::from_millis(1_000);
