--- a/crates/nickellead_proxy/src/exchange.rs
+++ b/crates/nickellead_proxy/src/exchange.rs
@@ -61,7 +61,7 @@
 
 fn classify_error(error: &SendRequestError) -> ErrorKind {
     match error {
-        // The HTTP client reports this error if the connection is lost while it waits for the response.
+        // The HTTP client reports this error for a connection lost before the response.
         SendRequestError::Connect(ConnectError::Disconnected) => ErrorKind::AnswerLost,
         // No connection was opened, so no byte was sent.
         SendRequestError::Connect(_) | SendRequestError::Url(_) => ErrorKind::TargetUnreachable,
--- a/crates/nickellead_proxy/src/transport.rs
+++ b/crates/nickellead_proxy/src/transport.rs
@@ -29,9 +29,9 @@
 
 /// Connection that records when its end is read.
 #[derive(Debug)]
-pub(crate) struct EofObservingStream(TcpStream);
+pub(crate) struct EofAwareStream(TcpStream);
 
-impl AsyncRead for EofObservingStream {
+impl AsyncRead for EofAwareStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -48,7 +48,7 @@
     }
 }
 
-impl AsyncWrite for EofObservingStream {
+impl AsyncWrite for EofAwareStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -66,7 +66,7 @@
     }
 }
 
-impl ActixStream for EofObservingStream {
+impl ActixStream for EofAwareStream {
     fn poll_read_ready(&self, context: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.0, context)
     }
@@ -77,14 +77,14 @@
 }
 
 /// Connector of the HTTP client for connections to targets.
-pub(crate) fn eof_observing_connector()
--> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, EofObservingStream>, Error = ConnectError>
+pub(crate) fn eof_aware_connector()
+-> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, EofAwareStream>, Error = ConnectError>
 + Clone
 + 'static {
     ConnectorService::default().map(|connection: Connection<Uri, TcpStream>| {
         let (stream, request) = connection.into_parts();
         // Nagle's algorithm would delay small requests; a failure only adds latency.
         let _ = stream.set_nodelay(true);
-        Connection::new(request, EofObservingStream(stream))
+        Connection::new(request, EofAwareStream(stream))
     })
 }
