--- a/crates/nickellead_peer/src/client.rs
+++ b/crates/nickellead_peer/src/client.rs
@@ -80,7 +80,7 @@
         self.progress
     }
 
-    /// Sends a request and receives the response; `limit` bounds the time until the response begins.
+    /// Sends a request and receives the response, which must begin within `limit`.
     ///
     /// # Errors
     /// A [`PeerError`]; the next call then opens a new connection.
@@ -154,7 +154,8 @@
     }
 }
 
-/// Reads a whole body of at most [`MAX_MESSAGE_BYTES`], with at most [`STALL_TIMEOUT`] between two chunks.
+/// Reads a whole body of at most [`MAX_MESSAGE_BYTES`]; fails if a chunk takes longer than
+/// [`STALL_TIMEOUT`].
 ///
 /// Calls `on_chunk` with the size of each chunk.
 pub(crate) async fn read_body(
--- a/crates/nickellead_peer/src/config_change.rs
+++ b/crates/nickellead_peer/src/config_change.rs
@@ -80,7 +80,7 @@
 }
 
 impl ConfigChange {
-    /// Computes the change from `old` to `new`; [`ConfigChange::apply`] on `old` returns exactly `new`.
+    /// Computes the change by which [`ConfigChange::apply`] turns `old` into exactly `new`.
     ///
     /// `None` when the objects of `new` are not sorted by unique names.
     #[must_use]
--- a/crates/nickellead_peer/src/config_history.rs
+++ b/crates/nickellead_peer/src/config_history.rs
@@ -10,9 +10,10 @@
 use crate::config_change::{ConfigChange, config_state};
 use crate::declared_state::{ChangeError, DeclaredState};
 
-/// Maximum number of changes that are kept for followers; a follower that misses more gets all objects.
+/// Maximum number of kept changes; a follower that misses more receives all objects.
 ///
-/// Followers compute a digest of all objects for each change, so many changes cost more than the whole.
+/// Followers compute a digest of all objects for each change, so that applying many changes costs
+/// more than replacing all objects.
 pub const MAX_CONFIG_CHANGES: usize = 32;
 
 /// Update of the declared objects that one VM sends to another.
@@ -119,7 +120,7 @@
         Ok(true)
     }
 
-    /// Update for a follower in the given state, if it has any; `None` when the follower is current.
+    /// Update for a follower in the given state; `None` when the follower is up to date.
     #[must_use]
     pub fn since(&self, known: Option<DeclaredState>) -> Option<ConfigUpdate> {
         let newest = self.newest.as_ref()?;
--- a/crates/nickellead_peer/tests/slow_responses.rs
+++ b/crates/nickellead_peer/tests/slow_responses.rs
@@ -1,7 +1,7 @@
 //! Large responses over slow links.
 //!
-//! Guards against a timeout on the whole response, which restarts large transfers over a congested link
-//! and keeps it congested.
+//! Guards against a timeout on the whole response, which restarts large transfers over a congested
+//! link and keeps it congested.
 #![allow(clippy::unwrap_used)]
 
 use std::rc::Rc;
--- a/crates/nickellead_platform/src/client.rs
+++ b/crates/nickellead_platform/src/client.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Writes the spec of one object if it has the expected version; 0 means that it must not exist.
+    /// Writes the spec of one object if it has the expected version; 0 means it must not exist.
     pub async fn write<T: Serialize>(
         &self,
         kind: ObjectKind,
